--- a/src/rosepath/lease_backing.py
+++ b/src/rosepath/lease_backing.py
@@ -1,40 +1,42 @@
-"""How long the other entry VMs keep off a lease that can't be renewed.
-
-Nobody takes a lease over while its holder is heard. So a holder whose word all
-others have heard knows that none of them acts for it in the next moment, even
-if the store that keeps the lease answers nobody. Each VM says in its own word
-whose it heard last; a word is proof from the time at which it was sent.
+"""Extend a lease that cannot be renewed by acknowledgements of peers.
+
+No VM takes the lease over within a set time after it received a state message
+from the holder. A holder whose messages all others have acknowledged therefore
+knows that none of them acts as the holder until then, even while no VM reaches
+the store. Each VM acknowledges, in its own state messages, the last message
+that it received from the holder; the time counts from when that message was
+sent.
 """
 
 from collections import deque
 from collections.abc import Iterable
 
-# Words remembered by when they were sent: some three seconds of them.
-WORDS_KEPT = 20
+# Sent messages whose time is kept: about three seconds of them.
+MAX_SENT_MESSAGES = 20
 
 
-class LeaseBacking:
-    """Hold when this VM spoke, and which of its words each other VM heard."""
+class LeaseExtension:
+    """Own the times of sent state messages and the peers' acknowledgements."""
 
-    def __init__(self, *, silent_s: float) -> None:
-        # After so long without a word, others may take the lease over.
-        self._silent_s = silent_s
+    def __init__(self, *, silence_s: float) -> None:
+        # After this long without a message, others may take the lease over.
+        self._silence_s = silence_s
         self._sent_s: dict[int, float] = {}
         self._numbers: deque[int] = deque()
-        self._heard: dict[str, int] = {}
+        self._acked: dict[str, int] = {}
 
     def note_sent(self, number: int, *, now_s: float) -> None:
-        """Note that a numbered word goes out."""
+        """Record that a numbered state message is sent."""
         self._sent_s[number] = now_s
         self._numbers.append(number)
-        if len(self._numbers) > WORDS_KEPT:
+        if len(self._numbers) > MAX_SENT_MESSAGES:
             del self._sent_s[self._numbers.popleft()]
 
-    def note_heard(self, name: str, number: int) -> None:
-        """Note that another VM heard a word of this one."""
-        self._heard[name] = max(number, self._heard.get(name, 0))
+    def note_ack(self, name: str, number: int) -> None:
+        """Record that another VM acknowledged a message of this one."""
+        self._acked[name] = max(number, self._acked.get(name, 0))
 
-    def until_s(self, names: Iterable[str]) -> float:
-        """Return until when none of some VMs takes over; far past if unknown."""
-        known = [self._sent_s.get(self._heard.get(name, 0), -1e9) for name in names]
-        return min(known, default=-1e9) + self._silent_s
+    def extended_until_s(self, names: Iterable[str]) -> float:
+        """Return until when no given VM takes over; far past if unknown."""
+        known = [self._sent_s.get(self._acked.get(name, 0), -1e9) for name in names]
+        return min(known, default=-1e9) + self._silence_s
--- a/src/rosepath/lease_keeper.py
+++ b/src/rosepath/lease_keeper.py
@@ -1,4 +1,4 @@
-"""Take, renew and give up leases in the store."""
+"""Acquire, renew and release leases in the store."""
 
 import math
 import uuid
@@ -8,20 +8,20 @@
 
 from rosepath.clock import Clock
 from rosepath.leases import (
-    BEFORE_KEPT,
-    FENCES_A_TERM,
+    FENCES_PER_TERM,
+    MAX_PREVIOUS_HOLDERS,
     UNKNOWN_HOLDER,
     LeaseAction,
     LeasePolicy,
     LeaseRecord,
     LeaseRow,
     Resignation,
-    act_from_s,
     decode_lease,
+    earliest_act_s,
     encode_lease,
-    holders_before,
     lease_action,
     may_take_over,
+    previous_holders_of,
 )
 from rosepath.logs import get_logger
 from rosepath.object_store import ConflictError, ObjectsPort, StoredObject, StoreError
@@ -32,7 +32,11 @@
 
 
 class LeaseKeeper:
-    """Hold the lease rows that this node takes part in."""
+    """Own this node's view of its leases, and acquire, renew and release them.
+
+    At most one node holds a lease at a time: each acts only while `valid`
+    returns true, and all writes to the store are conditional on the version.
+    """
 
     def __init__(
         self, platform: ObjectsPort, *, me: str, policy: LeasePolicy, clock: Clock
@@ -41,22 +45,22 @@
         self._me = me
         self._clock = clock
         self._first_seen_s: dict[str, float] = {}
-        self._heard: dict[str, int] = {}
-        self._heard_s: dict[str, float] = {}
-        self._last_word_s: dict[str, float] = {}
-        self._resigned: dict[str, Resignation] = {}
-        # What the lease that this node holds names as quarantined, and who is told of
-        # what another's does.
+        self._announced_version: dict[str, int] = {}
+        self._announced_version_at_s: dict[str, float] = {}
+        self._announced_at_s: dict[str, float] = {}
+        self._resignations: dict[str, Resignation] = {}
+        # Returns the quarantined requests that this node writes into its
+        # leases, and receives those of each lease that it reads.
         self.quarantined: Callable[[], tuple[str, ...]] = tuple
         self.on_quarantined: Callable[[tuple[str, ...]], None] = lambda _: None
         self.policy = policy
         self.rows: dict[str, LeaseRow] = {}
 
-    def valid(self, name: str, *, backed_until_s: float = -1e9) -> bool:
-        """Tell whether this node holds a lease right now, with its margin.
+    def valid(self, name: str, *, extended_until_s: float = -1e9) -> bool:
+        """Tell whether this node may act as the holder of a lease now.
 
-        A lease that could not be renewed is held on while it is backed: while
-        all others are known not to take it over before then.
+        A lease that could not be renewed stays valid until `extended_until_s`,
+        before which no other node takes it over.
         """
         row = self.rows.get(name)
         if row is None or row.holder != self._me:
@@ -64,100 +68,103 @@
         return row.valid(
             now_s=self._clock.monotonic_s(),
             policy=self.policy,
-            backed_until_s=backed_until_s,
+            extended_until_s=extended_until_s,
         )
 
-    def hear(self, name: str, *, version: int) -> None:
-        """Note a version of which its holder told.
+    def note_announcement(self, name: str, *, version: int) -> None:
+        """Record a state message in which the holder announces its version.
 
-        Heard from the holder, a version is known before it is read; one that
-        is found unchanged later has stood since, and the wait for it to lapse
-        need not begin anew. The word itself keeps others off for a while, whatever
-        became of the version.
+        If a later read finds the same version, it counts as unchanged since
+        the announcement, and the wait for its expiry does not start anew. The
+        message itself delays a takeover by this node, whatever version the
+        store has.
         """
         now_s = self._clock.monotonic_s()
-        self._last_word_s[name] = now_s
-        if version > self._heard.get(name, 0):
-            self._heard[name] = version
-            self._heard_s[name] = now_s
+        self._announced_at_s[name] = now_s
+        if version > self._announced_version.get(name, 0):
+            self._announced_version[name] = version
+            self._announced_version_at_s[name] = now_s
 
     def hear_resigned(self, name: str, *, version: int, acted_ago_s: float) -> None:
-        """Note that the holder of a version acts no more."""
-        known = self._resigned.get(name)
+        """Record that the holder of a version has stopped acting."""
+        known = self._resignations.get(name)
         if known is None or known.version < version:
             acted_s = self._clock.monotonic_s() - acted_ago_s
-            self._resigned[name] = Resignation(version=version, acted_s=acted_s)
+            self._resignations[name] = Resignation(version=version, acted_s=acted_s)
 
     def resign(self, name: str) -> int:
-        """Stop acting as the holder; return the version that this ends, or 0.
+        """Stop acting as the holder; return the resigned version, or 0.
 
-        For a holder that loses the store: it can't hand the lease back there,
-        but its word to the others spares them the wait for it to lapse.
+        For a holder that cannot reach the store to release the lease there.
+        Once it announces the resignation, the others need not wait for the
+        expiry.
         """
         row = self.rows[name]
-        # Another's lease may have been read since; that one is not resigned.
+        # The last read may have found another node's lease, which only that
+        # node may resign.
         version = row.version if row.holder == self._me else 0
-        self._lose(row, why="resigned")
+        self._drop(row, why="resigned")
         return version
 
-    def inherit(
+    def accept_handover(
         self, name: str, *, version: int, fence: int, acted_ago_s: float
     ) -> bool:
-        """Take a lease over by its stopping holder's word alone.
+        """Take a lease over from its stopping holder without the store.
 
-        The holder that speaks acts no more, and named this node only. Until the
-        store can be told, the lease holds only while it is backed.
+        The previous holder has stopped acting and has named only this node as
+        its successor. Until a write to the store succeeds, the lease is valid
+        only as far as peers' acknowledgements extend it.
         """
         row = self.rows.setdefault(name, LeaseRow(name=name))
-        newest = max(row.version, self._heard.get(name, 0))
+        newest = max(row.version, self._announced_version.get(name, 0))
         if row.holder == self._me or version < newest or fence < row.fence:
             return False
         now_s = self._clock.monotonic_s()
-        pause_s = self.policy.turn_s if self._me in row.before else 0.0
-        row.before = holders_before(row, me=self._me)
+        pause_s = self.policy.turn_s if self._me in row.previous_holders else 0.0
+        row.previous_holders = previous_holders_of(row, me=self._me)
         row.version, row.holder = version, self._me
-        row.term, row.passed_on = divmod(fence + 1, FENCES_A_TERM)
-        row.held_until_s = row.seen_at_s = now_s
-        row.act_from_s = now_s - acted_ago_s + max(pause_s, self.policy.handover_s)
+        row.term, row.direct_handovers = divmod(fence + 1, FENCES_PER_TERM)
+        row.held_until_s = row.checked_at_s = now_s
+        row.earliest_act_s = now_s - acted_ago_s + max(pause_s, self.policy.handover_s)
         return True
 
-    def lapsed(self, name: str) -> bool:
-        """Tell whether a lease that names this node here was not renewed in time."""
+    def own_lease_expired(self, name: str) -> bool:
+        """Tell whether this node's own lease expired without a renewal."""
         row = self.rows.get(name)
         now_s = self._clock.monotonic_s()
         return row is not None and row.holder == self._me and row.held_until_s <= now_s
 
     def overdue_s(self, name: str) -> float:
-        """Return for how long a held lease could not be renewed."""
+        """Return for how long the renewal of a held lease has been due."""
         row = self.rows[name]
         renewed_s = row.held_until_s - self.policy.duration_s
-        due_s = renewed_s + self.policy.renewed_after_s
+        due_s = renewed_s + self.policy.renewal_interval_s
         return self._clock.monotonic_s() - due_s
 
     def holder(self, name: str) -> str:
-        """Return whom a lease named when it was last read."""
+        """Return the holder of a lease as last recorded, or an empty name."""
         row = self.rows.get(name)
         return row.holder if row else ""
 
     def version(self, name: str) -> int:
-        """Return the version under which a lease was last renewed."""
+        """Return the version of a lease as last recorded, or 0."""
         row = self.rows.get(name)
         return row.version if row else 0
 
     def term(self, name: str) -> int:
-        """Return the term under which a lease was last taken."""
+        """Return the highest recorded term of a lease, or 0."""
         row = self.rows.get(name)
         return row.term if row else 0
 
     def fence(self, name: str) -> int:
-        """Return the fence of the acts under a lease as it was last taken."""
+        """Return the fencing token for acts under a lease, or 0."""
         row = self.rows.get(name)
         return row.fence if row else 0
 
     async def step(
-        self, name: str, *, wanted: bool, backed_until_s: float = -1e9
+        self, name: str, *, wanted: bool, extended_until_s: float = -1e9
     ) -> None:
-        """Do what is due about one lease."""
+        """Renew a lease, or read and try to acquire it, if that is due."""
         row = self.rows.setdefault(name, LeaseRow(name=name))
         action = lease_action(
             row,
@@ -165,7 +172,7 @@
             wanted=wanted,
             now_s=self._clock.monotonic_s(),
             policy=self.policy,
-            backed_until_s=backed_until_s,
+            extended_until_s=extended_until_s,
         )
         try:
             if action is LeaseAction.RENEW:
@@ -185,9 +192,9 @@
     async def _read(self, row: LeaseRow) -> None:
         stored = await self._platform.get(f"{LEASE_KIND}/{row.name}")
         now_s = self._clock.monotonic_s()
-        self._note(row, stored, now_s)
+        self._record_stored(row, stored, now_s)
         first_seen_s = self._first_seen_s[row.name]
-        resigned = self._resigned.get(row.name)
+        resigned = self._resignations.get(row.name)
         if may_take_over(
             row,
             me=self._me,
@@ -196,20 +203,20 @@
             policy=self.policy,
             resigned=resigned,
         ):
-            row.act_from_s = act_from_s(
+            row.earliest_act_s = earliest_act_s(
                 row,
                 me=self._me,
                 first_seen_s=first_seen_s,
                 policy=self.policy,
                 resigned=resigned,
-                last_word_s=self._last_word_s.get(row.name, -1e9),
+                last_announced_s=self._announced_at_s.get(row.name, -1e9),
             )
-            grounds = self._grounds(row)
+            grounds = self._takeover_grounds(row)
             await self._write(row, term=row.term + 1, grounds=grounds)
 
-    def _grounds(self, row: LeaseRow) -> str:
-        """Tell why a lease that was just read may be taken over."""
-        resigned = self._resigned.get(row.name)
+    def _takeover_grounds(self, row: LeaseRow) -> str:
+        """Return why a lease that was just read may be taken over."""
+        resigned = self._resignations.get(row.name)
         if row.version == 0:
             return "absent"
         if row.holder in ("", self._me):
@@ -218,42 +225,49 @@
             return "resigned"
         return "lapsed"
 
-    def _note(self, row: LeaseRow, stored: StoredObject | None, now_s: float) -> None:
-        row.seen_at_s = now_s
+    def _record_stored(
+        self, row: LeaseRow, stored: StoredObject | None, now_s: float
+    ) -> None:
+        row.checked_at_s = now_s
         version = stored.version if stored else 0
-        # Wherever a version is read first, from then on it may have stood; only
-        # one that stood for a lease's time has lapsed.
+        # The expiry of a version is timed from its first read, or from its
+        # announcement if that came earlier.
         if version != row.version or row.name not in self._first_seen_s:
-            heard = version != 0 and version == self._heard.get(row.name)
-            self._first_seen_s[row.name] = self._heard_s[row.name] if heard else now_s
+            announced = version != 0 and version == self._announced_version.get(
+                row.name
+            )
+            self._first_seen_s[row.name] = (
+                self._announced_version_at_s[row.name] if announced else now_s
+            )
         row.version = version
         row.holder = ""
         if stored is None:
             return
         match decode_lease(stored):
             case Result(tag="ok", ok=record):
-                row.holder, row.before = record.holder, record.before
+                row.holder, row.previous_holders = record.holder, record.before
                 self.on_quarantined(record.quarantined)
                 if record.term > row.term:
-                    row.term, row.passed_on = record.term, 0
+                    row.term, row.direct_handovers = record.term, 0
             case Result(error=problem):
-                # Another writer wrote it over. Each term took a change, so the
-                # version is beyond every term that was ever in use.
+                # Another writer overwrote it. Each term took at least one
+                # write, so the version is at least as high as every term used
+                # so far.
                 _log.warning("lease_unreadable", step="lease", why=problem)
                 row.holder = UNKNOWN_HOLDER
-                row.term, row.passed_on = max(row.term, stored.version), 0
+                row.term, row.direct_handovers = max(row.term, stored.version), 0
 
     async def _write(self, row: LeaseRow, *, term: int, grounds: str = "") -> None:
-        # The time counts from before the write: however late the reply, no
-        # other node can have seen this version for longer than that.
-        asked_s = self._clock.monotonic_s()
-        before = holders_before(row, me=self._me)
+        # The duration counts from before the write: however late the reply, no
+        # other node can have seen this version for longer.
+        started_s = self._clock.monotonic_s()
+        previous_holders = previous_holders_of(row, me=self._me)
         value = encode_lease(
             LeaseRecord(
                 holder=self._me,
                 term=term,
                 nonce=uuid.uuid4().hex,
-                before=before,
+                before=previous_holders,
                 quarantined=self.quarantined(),
             )
         )
@@ -263,18 +277,19 @@
                 name, value, expected_version=row.version
             )
         except ConflictError:
-            await self._settle_conflict(row)
+            await self._resolve_conflict(row)
             return
         except StoreError as error:
             if not error.unknown:
                 raise
             stored = await self._platform.get(name)
             if stored is None or stored.value != value:
-                self._note(row, stored, self._clock.monotonic_s())
+                self._record_stored(row, stored, self._clock.monotonic_s())
                 return
             version = stored.version
         if row.holder != self._me or term != row.term:
-            # One that finds itself named in the store begins a term, too.
+            # A node that finds itself named in the store starts a new term,
+            # too.
             _log.info(
                 "lease_taken",
                 step="lease",
@@ -282,20 +297,20 @@
                 term=term,
                 version=version,
                 grounds=grounds,
-                acts_in_s=round(max(0.0, row.act_from_s - asked_s), 3),
+                acts_in_s=round(max(0.0, row.earliest_act_s - started_s), 3),
             )
         if term != row.term:
-            row.passed_on = 0
+            row.direct_handovers = 0
         row.version, row.holder, row.term = version, self._me, term
-        row.before = before
-        row.seen_at_s = asked_s
-        row.held_until_s = asked_s + self.policy.duration_s
+        row.previous_holders = previous_holders
+        row.checked_at_s = started_s
+        row.held_until_s = started_s + self.policy.duration_s
 
-    async def _settle_conflict(self, row: LeaseRow) -> None:
-        """Give a lease up, unless it is a late write of this node that stands.
+    async def _resolve_conflict(self, row: LeaseRow) -> None:
+        """Drop a lease after a conflict, unless this node wrote it last.
 
-        A renewal without an answer may be carried out after the next one was
-        sent, which then meets a version that it does not expect.
+        The store may apply an unanswered renewal late. The next renewal then
+        fails, as it does not expect the version of the late one.
         """
         if row.holder == self._me:
             stored = await self._platform.get(f"{LEASE_KIND}/{row.name}")
@@ -306,9 +321,9 @@
                     ):
                         row.version = stored.version
                         return
-        self._lose(row, why="conflict")
+        self._drop(row, why="conflict")
 
-    def _lose(self, row: LeaseRow, *, why: str) -> None:
+    def _drop(self, row: LeaseRow, *, why: str) -> None:
         if row.holder == self._me:
             _log.warning(
                 "lease_lost",
@@ -320,21 +335,21 @@
             )
         row.holder = ""
         row.held_until_s = -1e9
-        row.seen_at_s = -1e9
+        row.checked_at_s = -1e9
 
     async def give_up(self, name: str) -> int:
-        """Hand a lease back; return the version that says so, or 0."""
+        """Release a lease; return the version that ends or releases it, or 0."""
         row = self.rows.get(name)
         if row is None or row.holder != self._me:
             return 0
         row.held_until_s = -1e9
-        row.act_from_s = math.inf
+        row.earliest_act_s = math.inf
         value = encode_lease(
             LeaseRecord(
                 holder="",
                 term=row.term,
                 nonce=uuid.uuid4().hex,
-                before=(self._me, *row.before)[:BEFORE_KEPT],
+                before=(self._me, *row.previous_holders)[:MAX_PREVIOUS_HOLDERS],
                 quarantined=self.quarantined(),
             )
         )
@@ -343,7 +358,7 @@
                 f"{LEASE_KIND}/{name}", value, expected_version=row.version
             )
         except ConflictError:
-            self._lose(row, why="conflict")
+            self._drop(row, why="conflict")
             return row.version
         except StoreError:
             return row.version
--- a/src/rosepath/placement_coordinator.py
+++ b/src/rosepath/placement_coordinator.py
@@ -1,4 +1,4 @@
-"""What this entry VM does about models: tell of demand, ask, hold the lease."""
+"""Model demand, the placement lease and orders to engines on one entry VM."""
 
 import asyncio
 import uuid
@@ -12,7 +12,7 @@
 from rosepath.entry_settings import EntrySettings
 from rosepath.fleet import BackendServer, Fleet
 from rosepath.held_moves import HeldMoves
-from rosepath.lease_backing import LeaseBacking
+from rosepath.lease_backing import LeaseExtension
 from rosepath.lease_keeper import LeaseKeeper
 from rosepath.leases import LeasePolicy
 from rosepath.logs import get_logger
@@ -26,37 +26,43 @@
 from rosepath.prompt_caches import PromptCaches
 from rosepath.rendezvous import ranked
 
-# One renewal may fail by chance; after two the store has turned away.
-RESIGN_OVERDUE_S = 0.5
+# A single renewal may fail by chance; two in a row mean that the store fails.
+RESIGN_AFTER_OVERDUE_S = 0.5
 LEASE_NAME = "placement"
-# An heir that the others do not back by then leaves the lease to them.
-INHERITED_CLAIM_S = 2.0
-# So long after the last word of a holder, others look whether it has lapsed;
-# each waits a little longer than the one before it in rank, so that one reads.
-# Eight words lost in a row, or four in a crowd, mean that it is gone.
-HOLDER_SILENT_S = 1.3
-HOLDER_SILENT_CROWDED_S = 3.0
-RANK_STEP_S = 0.4
-# In a crowd, a word is long and goes to a whole data centre: one for each model that
-# comes or goes fills the holder's link as a term begins, and its renewals of the lease
-# and its orders time out. Four a second leave most of a link of 10 Mbit/s free.
-MOVES_APART_CROWDED_S = 0.25
-NEVER_BACKED_S = -1e9
-# A stopping holder ends its swaps for so long, or a part of its grace: an unload
-# mostly waits less for the runs of its model, and until the lease is given up
-# nobody plans.
-FINISH_S = 2.0
-FINISH_GRACE_SHARE = 0.25
-# How long a stopping holder waits for the store to take the lease back, a little over
-# what one call takes by default; then one heir goes on by its word. With a longer limit
-# for calls, a slow store would use up the grace.
-HAND_BACK_S = 0.6
+# A successor that not all other VMs have acknowledged by then drops the lease.
+HANDOVER_CLAIM_S = 2.0
+# How long after the last state message of the holder another VM reads the
+# lease to take it over. Eight messages lost in a row, or four in a large
+# fleet, mean that the holder is gone. Each VM in rank order waits one stagger
+# longer than the one before, so that only one reads.
+HOLDER_SILENCE_S = 1.3
+HOLDER_SILENCE_CROWDED_S = 3.0
+TAKEOVER_STAGGER_S = 0.4
+# In a large fleet, a state message is long and goes to a whole data centre. If
+# one were sent for each model loaded or unloaded, they would fill the holder's
+# link at the start of a term, and its lease renewals and orders would time
+# out. Four a second leave most of a 10 Mbit/s link free.
+MOVE_INTERVAL_CROWDED_S = 0.25
+NOT_EXTENDED_S = -1e9
+# Limits on the time that a stopping holder takes to finish its swaps, in
+# seconds and as a share of its grace period. Most unloads wait less than this
+# for the runs of their model, and no VM plans until the lease is released.
+FINISH_ORDERS_MAX_S = 2.0
+FINISH_ORDERS_GRACE_SHARE = 0.25
+# How long a stopping holder waits for the store to release the lease before it
+# hands the lease directly to a successor: a little over the default limit of
+# one call. With a longer limit, a slow store would use up the grace period.
+RELEASE_TIMEOUT_S = 0.6
 
 _log = get_logger()
 
 
 class PlacementCoordinator:
-    """Count demand, and bring orders about: as the holder, or by asking it."""
+    """Own this VM's model demand, its placement lease and its orders.
+
+    Used by the entry node and the peer exchange. Only the holder of the lease
+    sends orders to engines; the other VMs ask the holder for adapters.
+    """
 
     def __init__(
         self,
@@ -80,28 +86,30 @@
         self._stopping = stopping
         self._cut_off = cut_off
         self._address = settings.peers.listen
-        self._silent_since_s = clock.monotonic_s()
+        self._holder_silent_since_s = clock.monotonic_s()
         self.link: PeerLink | None = None
         self.resigned_version = 0
         self.bequest = Bequest()
-        self._inherited_s = -1e9
+        self._handover_accepted_s = -1e9
         self.moves = HeldMoves(
             clock=clock,
             fleet=fleet,
             caches=caches,
             changed=changed,
-            tell=PacedCall(self._say_so, interval_s=self._moves_apart_s).ask,
+            tell=PacedCall(self._send_state, interval_s=self._move_interval_s).ask,
         )
         self._arrivals = ModelArrivals()
         self._was_holder = False
-        self._finishing = False
-        # Set as this VM becomes the holder; whoever plans clears it.
+        self._finishing_orders = False
+        # Set when this VM becomes the holder; cleared by the planning loop.
         self.term_begun = asyncio.Event()
-        self._looked = False
-        self._boot = boot_clock or BootClock()
+        self._lease_checked = False
+        self._boot_clock = boot_clock or BootClock()
         self.demand = Demand()
-        self._backing = LeaseBacking(silent_s=HOLDER_SILENT_S)
-        self._finish_s = min(FINISH_S, FINISH_GRACE_SHARE * settings.stop.grace_s)
+        self._extension = LeaseExtension(silence_s=HOLDER_SILENCE_S)
+        self._finish_orders_max_s = min(
+            FINISH_ORDERS_MAX_S, FINISH_ORDERS_GRACE_SHARE * settings.stop.grace_s
+        )
         lease = settings.lease
         self.leases = LeaseKeeper(
             store,
@@ -113,9 +121,9 @@
                 look_s=lease.look_s,
                 handover_s=lease.handover_s,
                 turn_s=lease.turn_s,
-                backed_s=HOLDER_SILENT_S,
+                extension_s=HOLDER_SILENCE_S,
             ),
-            clock=self._boot,
+            clock=self._boot_clock,
         )
         self.orders = OrderDispatcher(
             DispatcherPorts(
@@ -134,67 +142,68 @@
 
     @property
     def holds(self) -> bool:
-        """Tell whether this VM may order right now."""
-        # Each datagram asks this: who backs the lease is looked through only
-        # while it could not be renewed.
+        """Tell whether this VM holds the placement lease and may order now."""
+        # Read for each datagram, so the acknowledgements are only looked
+        # through while the lease could not be renewed.
         if self.leases.valid(LEASE_NAME):
             return True
-        return self.leases.valid(LEASE_NAME, backed_until_s=self._backed_until_s())
+        return self.leases.valid(LEASE_NAME, extended_until_s=self._extended_until_s())
 
     @property
     def term(self) -> int:
-        """Return the fence under which the lease is held, or 0."""
-        return self.leases.fence(LEASE_NAME) if self._claims else 0
+        """Return the fencing token under which the lease is held, or 0."""
+        return self.leases.fence(LEASE_NAME) if self._claims_lease else 0
 
     @property
     def lease_version(self) -> int:
-        """Return the version of the lease held, or 0."""
-        return self.leases.version(LEASE_NAME) if self._claims else 0
+        """Return the version of the held lease, or 0."""
+        return self.leases.version(LEASE_NAME) if self._claims_lease else 0
 
     @property
-    def _claims(self) -> bool:
-        """Tell whether this VM says that it holds the lease.
+    def _claims_lease(self) -> bool:
+        """Tell whether this VM announces that it holds the lease.
 
-        An heir says so before it may act: the others back whom they hear.
+        A successor announces it before it may act, as the others acknowledge
+        only a VM that does.
         """
         if self.holds:
             return True
-        inherited_ago_s = self._boot.monotonic_s() - self._inherited_s
+        accepted_ago_s = self._boot_clock.monotonic_s() - self._handover_accepted_s
         mine = self.leases.holder(LEASE_NAME) == self._me
-        return mine and inherited_ago_s < INHERITED_CLAIM_S and not self._stopping()
+        return mine and accepted_ago_s < HANDOVER_CLAIM_S and not self._stopping()
 
     @property
     def acted_ago_s(self) -> float:
-        """Return how long ago the last order of this VM was over."""
+        """Return how long ago the last order of this VM ended."""
         return self.orders.sender.acted_ago_s
 
     @property
     def heard(self) -> tuple[str, int]:
-        """Return whose word this VM last heard as the holder's, and which.
+        """Return the start and number of the holder's message to acknowledge.
 
-        Who takes the lease itself keeps off nobody's.
+        A VM that has acquired the lease itself acknowledges none.
         """
         if self.leases.holder(LEASE_NAME) == self._me:
             return "", 0
         return self._peers.heard_holder()
 
     def note_word(self, number: int) -> None:
-        """Note that this VM speaks to the others."""
-        self._backing.note_sent(number, now_s=self._boot.monotonic_s())
+        """Record that this VM sends a numbered state message."""
+        self._extension.note_sent(number, now_s=self._boot_clock.monotonic_s())
 
     def hear_peer(self, state: PeerState) -> None:
-        """Take in what another VM says of the lease."""
+        """Apply the state message of another VM to the lease and the fleet."""
         self.moves.hear(state)
         start, number = state.heard
         if self.link is not None and start == self.link.start:
-            self._backing.note_heard(state.entry_vm, number)
+            self._extension.note_ack(state.entry_vm, number)
         if state.term:
             self._arrivals.hear(state.arrivals, now_s=self._clock.monotonic_s())
-            self.leases.hear(LEASE_NAME, version=state.lease_version)
+            self.leases.note_announcement(LEASE_NAME, version=state.lease_version)
         if state.bequest.heir == self._me and not self._stopping():
-            self._inherit(state)
+            self._accept_handover(state)
         if state.resigned_version:
-            self._silent_since_s = -1e9
+            self._holder_silent_since_s = -1e9
             self.leases.hear_resigned(
                 LEASE_NAME,
                 version=state.resigned_version,
@@ -204,11 +213,11 @@
     # Demand
 
     def note_asked(self, service: str, prompt: Prompt) -> None:
-        """Note that a request for a model came."""
+        """Count a request that arrived for a model."""
         self.demand.ask(service, prompt, now_s=self._clock.monotonic_s())
 
     def note_request(self, service: str, prompt: Prompt, *, unread_tokens: int) -> None:
-        """Note what an engine has to read for a request."""
+        """Add the prompt tokens that an engine must read for a request."""
         self.demand.note(
             service,
             prompt,
@@ -217,12 +226,12 @@
         )
 
     def note_waiting(self, service: str, prompt: Prompt, *, step: int) -> None:
-        """Note that a request begins or ends waiting for a model."""
+        """Count a request that begins (1) or ends (-1) waiting for a model."""
         now_s = self._clock.monotonic_s()
         self.demand.wait(service, prompt, step=step, now_s=now_s)
 
     def own_demand(self) -> dict[str, Mapping[str, ModelDemand]]:
-        """Return the demand that this VM sees, by service."""
+        """Return the demand of this VM's callers, by service and model."""
         now_s = self._clock.monotonic_s()
         return {
             service: self.demand.now(service, now_s=now_s)
@@ -230,7 +239,7 @@
         }
 
     def all_demand(self, service: str) -> dict[str, ModelDemand]:
-        """Return the demand that all VMs see."""
+        """Return the demand of all live VMs for a service, by model."""
         parts = [self.own_demand().get(service, {})]
         for peer in self._peers.live():
             if peer.state is not None:
@@ -238,7 +247,7 @@
         return total_demand(parts)
 
     def model_due_s(self, model: str) -> float | None:
-        """Return when a model will be on some engine, if that is known."""
+        """Return when a model will be loaded on an engine, if known."""
         now_s = self._clock.monotonic_s()
         if self.holds:
             self._arrivals.hear(self.orders.arrivals, now_s=now_s)
@@ -247,129 +256,139 @@
     # The lease
 
     async def step_lease(self) -> None:
-        """Renew the lease, or look whether the holder's has lapsed."""
-        heard_s = max(self._silent_since_s, self._peers.holder_heard_s)
-        silent_s = self._clock.monotonic_s() - heard_s
-        # The first look is at once: a holder that was killed finds its own
-        # lease and need not wait for it to lapse.
-        wanted = not self._looked or silent_s > self._turn_s()
-        # One that reaches nobody spares the store its looks, which are paid for
-        # whether they arrive or not.
+        """Renew the lease, or try to acquire it if its holder is silent."""
+        last_message_s = max(self._holder_silent_since_s, self._peers.holder_heard_s)
+        silent_s = self._clock.monotonic_s() - last_message_s
+        # The first read is immediate: a holder that was killed and restarted
+        # finds its own lease and need not wait for it to expire.
+        wanted = not self._lease_checked or silent_s > self._takeover_after_s()
+        # A VM that is cut off does not read the lease: reads are charged for
+        # even if they fail.
         wanted = wanted and not self._stopping() and not self._cut_off()
-        self._looked = True
+        self._lease_checked = True
         await self.leases.step(
-            LEASE_NAME, wanted=wanted, backed_until_s=self._backed_until_s()
+            LEASE_NAME, wanted=wanted, extended_until_s=self._extended_until_s()
         )
         self._peers.named_holder = self.leases.holder(LEASE_NAME)
-        if self._finishing:
-            # The lease is given up right after, and to an heir if need be;
-            # resigned here, it would have none.
+        if self._finishing_orders:
+            # The lease is released next, or handed to a successor; a
+            # resignation here would leave it without one.
             return
-        if self._was_holder and (not self.holds or self._alone_without_store()):
-            # Renewals fail, yet the others may still hear this VM.
+        if self._was_holder and (not self.holds or self._store_fails_only_here()):
+            # Renewals fail, but the others may still receive this VM's
+            # messages.
             self.resigned_version = self.leases.resign(LEASE_NAME)
-            self._say_so()
+            self._send_state()
         elif self.holds:
             self.resigned_version = 0
-        elif self.leases.lapsed(LEASE_NAME) and not (self._claims or self._stopping()):
-            # An heir whom not all others back; the store decides once it is back.
+        elif self.leases.own_lease_expired(LEASE_NAME) and not (
+            self._claims_lease or self._stopping()
+        ):
+            # A successor that not all others acknowledged in time. The lease
+            # is acquired through the store once that answers again.
             self.leases.resign(LEASE_NAME)
         if self.holds and not self._was_holder:
             self.term_begun.set()
         self._was_holder = self.holds
 
-    def _inherit(self, state: PeerState) -> None:
-        if self.leases.inherit(
+    def _accept_handover(self, state: PeerState) -> None:
+        if self.leases.accept_handover(
             LEASE_NAME,
             version=state.bequest.version,
             fence=state.bequest.fence,
             acted_ago_s=state.acted_ago_s,
         ):
-            self._inherited_s = self._boot.monotonic_s()
+            self._handover_accepted_s = self._boot_clock.monotonic_s()
             _log.info("lease_inherited", step="lease", by=state.entry_vm)
-            self._say_so()
+            self._send_state()
 
-    def _backed_until_s(self) -> float:
-        """Return until when the others are known to keep off the lease.
+    def _extended_until_s(self) -> float:
+        """Return until when no other VM takes the lease over.
 
-        In a crowd words are too far apart for that.
+        A large fleet gets no extension, as its messages are too far apart.
         """
         if self.leases.holder(LEASE_NAME) != self._me:
-            return NEVER_BACKED_S
-        gives_up = self._stopping() and not self._finishing
-        if gives_up or self._peers.crowded:
-            return NEVER_BACKED_S
-        return self._backing.until_s(self._peers.backers())
+            return NOT_EXTENDED_S
+        stopped_acting = self._stopping() and not self._finishing_orders
+        if stopped_acting or self._peers.crowded:
+            return NOT_EXTENDED_S
+        return self._extension.extended_until_s(self._peers.backers())
 
-    def _alone_without_store(self) -> bool:
-        """Tell whether the store answers others while it fails this VM.
+    def _store_fails_only_here(self) -> bool:
+        """Tell whether the store fails for this VM but answers another.
 
-        When it answers nobody, nobody can take the lease, and its holder does
-        best to keep it until it lapses.
+        If it answers no VM, none can acquire the lease, so the holder keeps it
+        until it expires.
         """
         overdue_s = self.leases.overdue_s(LEASE_NAME)
-        if overdue_s < RESIGN_OVERDUE_S:
+        if overdue_s < RESIGN_AFTER_OVERDUE_S:
             return False
         return any(
             peer.state is not None
-            and peer.state.store_ago_s < overdue_s - RESIGN_OVERDUE_S / 2
+            and peer.state.store_ago_s < overdue_s - RESIGN_AFTER_OVERDUE_S / 2
             for peer in self._peers.live()
         )
 
-    def _moves_apart_s(self) -> float:
-        return MOVES_APART_CROWDED_S if self._peers.crowded else 0.0
+    def _move_interval_s(self) -> float:
+        return MOVE_INTERVAL_CROWDED_S if self._peers.crowded else 0.0
 
-    def _say_so(self) -> None:
+    def _send_state(self) -> None:
         if self.link is not None:
             self.link.tell()
 
-    def _turn_s(self) -> float:
-        # In a crowd only some VMs are heard lately; ranked among those, many
-        # would take themselves for first and look at the same time.
-        crowd = list(self._peers.peers.values())
-        others = crowd if self._peers.crowded else self._peers.live()
+    def _takeover_after_s(self) -> float:
+        # In a large fleet, each VM has recent messages of only some others.
+        # Ranked among those, many VMs would come first and read the lease at
+        # once.
+        known = list(self._peers.peers.values())
+        others = known if self._peers.crowded else self._peers.live()
         names = [self._me]
         names += [
             peer.name
             for peer in others
             if not (peer.state is not None and peer.state.stopping)
         ]
-        place = ranked(LEASE_NAME, names).index(self._me)
-        silent_s = HOLDER_SILENT_S
+        rank = ranked(LEASE_NAME, names).index(self._me)
+        silent_s = HOLDER_SILENCE_S
         if self._peers.crowded:
-            silent_s = HOLDER_SILENT_CROWDED_S
-        return silent_s + RANK_STEP_S * place
+            silent_s = HOLDER_SILENCE_CROWDED_S
+        return silent_s + TAKEOVER_STAGGER_S * rank
 
     async def give_up(self) -> None:
-        """Hand the lease back before a planned stop, after the last order."""
-        self._finishing = True
+        """Finish the orders and release the lease before a planned stop."""
+        self._finishing_orders = True
         try:
-            await self.orders.finish(self._finish_s)
+            await self.orders.finish(self._finish_orders_max_s)
         finally:
-            self._finishing = False
+            self._finishing_orders = False
         held, self._was_holder = self._was_holder, False
         fence = self.leases.fence(LEASE_NAME)
-        self.resigned_version = await self._hand_back()
+        self.resigned_version = await self._release_in_store()
         if held and self.leases.holder(LEASE_NAME) == self._me:
-            # The store was not told: one VM goes on by this word instead.
-            self.bequest = Bequest(self._heir(), self.resigned_version, fence)
+            # The store did not confirm the release, so one VM takes over
+            # directly.
+            self.bequest = Bequest(
+                self._choose_successor(), self.resigned_version, fence
+            )
             _log.info("lease_bequeathed", step="lease", peer=self.bequest.heir)
-        self._say_so()
+        self._send_state()
 
-    async def _hand_back(self) -> int:
-        """Hand the lease back in the store; return the version that ends, or 0.
+    async def _release_in_store(self) -> int:
+        """Release the lease in the store; return the version that ends, or 0.
 
-        From the first moment on this VM acts no more, whether the store takes the
-        lease back in time, late or not at all.
+        This VM stops acting at once, whether the store applies the release in
+        time, late or not at all.
         """
         try:
-            async with asyncio.timeout(HAND_BACK_S):
+            async with asyncio.timeout(RELEASE_TIMEOUT_S):
                 return await self.leases.give_up(LEASE_NAME)
         except TimeoutError:
-            _log.warning("lease_not_handed_back", step="lease", after_s=HAND_BACK_S)
+            _log.warning(
+                "lease_not_handed_back", step="lease", after_s=RELEASE_TIMEOUT_S
+            )
             return self.leases.version(LEASE_NAME)
 
-    def _heir(self) -> str:
+    def _choose_successor(self) -> str:
         live = [
             peer.name
             for peer in self._peers.live()
@@ -382,7 +401,7 @@
     async def ensure_adapter(
         self, service: str, server: BackendServer, prompt: Prompt, *, limit_s: float
     ) -> bool:
-        """Get an adapter onto an engine, by own order or by asking the holder."""
+        """Load an adapter onto an engine by an order or through the holder."""
         if self.holds:
             return await self.orders.ensure_adapter(
                 service, server.name, prompt.model, prompt.adapter
@@ -404,7 +423,7 @@
         return ready
 
     async def answer(self, ask: AdapterAsk) -> bool:
-        """Answer another VM's question."""
+        """Load an adapter that another VM asks for; true once it is loaded."""
         return self.holds and await self.orders.ensure_adapter(
             ask.service, ask.server, ask.model, ask.adapter
         )
--- a/tests/test_holder_words.py
+++ b/tests/test_holder_words.py
@@ -1,4 +1,4 @@
-"""What a holder in a crowd says must fit its link, or nothing else does."""
+"""State messages of a holder in a large fleet leave most of its link free."""
 
 import asyncio
 import random
@@ -14,7 +14,7 @@
 from rosepath.peer_messages import Forwarded, PeerState, decode
 from rosepath.peer_table import PeerTable
 from rosepath.placement_coordinator import (
-    MOVES_APART_CROWDED_S,
+    MOVE_INTERVAL_CROWDED_S,
     PlacementCoordinator,
 )
 from rosepath.prompt_caches import PromptCaches
@@ -23,29 +23,29 @@
 VMS = 80
 SERVERS = 144
 LINK_BITS = 10e6
-# As many models go or come in each of the first seconds of a term.
+# Models loaded or unloaded per second at the start of a term.
 MOVES_PER_S = 24
-WATCHED_S = 2.0
+MEASURED_S = 2.0
 
 
-class Wire:
-    """Count what is sent."""
+class RecordingTransport:
+    """Count the bytes sent and keep the last datagram."""
 
     def __init__(self) -> None:
         self.sent_bytes = 0
-        self.last = b""
+        self.last_datagram = b""
 
     def sendto(self, data: bytes, _: tuple[str, int]) -> None:
         self.sent_bytes += len(data)
-        self.last = data
+        self.last_datagram = data
 
     def is_closing(self) -> bool:
         return False
 
     @property
-    def moved(self) -> list[str]:
-        """Return the servers whose moves the last word tells, and forget the word."""
-        data, self.last = self.last, b""
+    def moved_servers(self) -> list[str]:
+        """Return the servers of the moves in the last datagram; clear it."""
+        data, self.last_datagram = self.last_datagram, b""
         if not data:
             return []
         message = decode(data)
@@ -55,18 +55,20 @@
         return [move.server for move in message.moves]
 
 
-def speak(peers: PeerTable, word: int, *, vms: int = VMS) -> None:
-    """Let a holder hear a word of each other VM."""
-    for number in range(1, vms):
-        centre = DATA_CENTRES[number % len(DATA_CENTRES)]
-        state = a_peer_state(f"vm-{number}", number=word, data_centre=centre)
+def receive_states(peers: PeerTable, number: int, *, vms: int = VMS) -> None:
+    """Let the holder receive a state message of each other VM."""
+    for vm in range(1, vms):
+        data_centre = DATA_CENTRES[vm % len(DATA_CENTRES)]
+        state = a_peer_state(f"vm-{vm}", number=number, data_centre=data_centre)
         assert peers.take(state)
 
 
-def a_holder(wire: Wire, peers: PeerTable, *, vms: int = VMS) -> PlacementCoordinator:
-    """Build a holder that tells other VMs of its servers."""
+def a_holder(
+    transport: RecordingTransport, peers: PeerTable, *, vms: int = VMS
+) -> PlacementCoordinator:
+    """Return a coordinator whose link sends the state of a holder."""
     clock, rng = LoopClock(), random.Random(1)
-    speak(peers, 1, vms=vms)
+    receive_states(peers, 1, vms=vms)
     totals = {
         f"i-{rng.getrandbits(40):010x}": PeerLoad(
             requests=rng.randrange(1, 20), unread_tokens=rng.randrange(30_000)
@@ -105,70 +107,70 @@
         on_ask=coordinator.answer,
         data_centre=DATA_CENTRES[0],
     )
-    coordinator.link.connection_made(cast(Any, wire))
+    coordinator.link.connection_made(cast(Any, transport))
     return coordinator
 
 
-def test_the_moves_of_a_new_term_do_not_fill_the_holders_link() -> None:
-    # Each model that came or went had the holder's whole word sent to its data
-    # centre at once. In the first seconds of a term that filled its link: its
-    # calls to the store and its orders got no answer in time, it gave the lease up,
-    # began a new term, and so on every three seconds.
+def test_model_changes_at_the_start_of_a_term_do_not_fill_the_holders_link() -> None:
+    # If each loaded or unloaded model sends the holder's whole state to its
+    # data centre at once, the start of a term fills the link. Store calls and
+    # orders then time out, the holder loses the lease, and a new term begins,
+    # every three seconds.
     async def run() -> None:
-        wire, peers = Wire(), PeerTable("vm-0", clock=LoopClock())
-        holder = a_holder(wire, peers)
-        for number in range(int(MOVES_PER_S * WATCHED_S)):
+        transport, peers = RecordingTransport(), PeerTable("vm-0", clock=LoopClock())
+        holder = a_holder(transport, peers)
+        for number in range(int(MOVES_PER_S * MEASURED_S)):
             holder.moves.note(f"i-{number}", f"m{number}", "", True)
             await asyncio.sleep(1 / MOVES_PER_S)
-            speak(peers, number + 2)
-        assert wire.sent_bytes * 8 / WATCHED_S < LINK_BITS / 4
+            receive_states(peers, number + 2)
+        assert transport.sent_bytes * 8 / MEASURED_S < LINK_BITS / 4
 
     with asyncio.Runner(loop_factory=VirtualLoop) as runner:
         runner.run(run())
 
 
-def test_the_first_move_of_a_quiet_time_is_told_at_once() -> None:
-    # Callers wait for a model that has come, and are turned away by an engine that
-    # unloads: only what follows closely may wait.
+def test_a_model_change_after_a_pause_is_sent_at_once() -> None:
+    # Callers wait for a loaded model, and an engine rejects them once it
+    # unloads one. Only changes that follow closely may be delayed.
     async def run() -> None:
-        wire, peers = Wire(), PeerTable("vm-0", clock=LoopClock())
-        holder = a_holder(wire, peers)
+        transport, peers = RecordingTransport(), PeerTable("vm-0", clock=LoopClock())
+        holder = a_holder(transport, peers)
         for name in ("i-1", "i-2"):
             holder.moves.note(name, "m1", "", True)
-            assert wire.moved[-1] == name
-            await asyncio.sleep(MOVES_APART_CROWDED_S + 0.01)
-            assert wire.moved == []
+            assert transport.moved_servers[-1] == name
+            await asyncio.sleep(MOVE_INTERVAL_CROWDED_S + 0.01)
+            assert transport.moved_servers == []
 
     with asyncio.Runner(loop_factory=VirtualLoop) as runner:
         runner.run(run())
 
 
-def test_moves_that_follow_closely_are_all_told_by_one_word() -> None:
-    # None may be left untold until the next word is due.
+def test_model_changes_in_quick_succession_are_sent_in_one_message() -> None:
+    # No change may wait for the next periodic message.
     async def run() -> None:
-        wire, peers = Wire(), PeerTable("vm-0", clock=LoopClock())
-        holder = a_holder(wire, peers)
+        transport, peers = RecordingTransport(), PeerTable("vm-0", clock=LoopClock())
+        holder = a_holder(transport, peers)
         holder.moves.note("i-1", "m1", "", True)
-        assert wire.moved == ["i-1"]
+        assert transport.moved_servers == ["i-1"]
         for name in ("i-2", "i-3"):
             holder.moves.note(name, "m1", "", True)
-            assert wire.moved == []
-        await asyncio.sleep(MOVES_APART_CROWDED_S + 0.01)
-        assert wire.moved == ["i-1", "i-2", "i-3"]
+            assert transport.moved_servers == []
+        await asyncio.sleep(MOVE_INTERVAL_CROWDED_S + 0.01)
+        assert transport.moved_servers == ["i-1", "i-2", "i-3"]
 
     with asyncio.Runner(loop_factory=VirtualLoop) as runner:
         runner.run(run())
 
 
-def test_each_move_is_told_at_once_where_vms_are_few() -> None:
-    # Gathered for no need, callers' requests would wait longer for a model
-    # that is there, or go to one that is not.
+def test_each_model_change_is_sent_at_once_in_a_small_fleet() -> None:
+    # If changes are batched needlessly, requests wait longer for a loaded
+    # model or go to an engine that has unloaded it.
     async def run() -> None:
-        wire, peers = Wire(), PeerTable("vm-0", clock=LoopClock())
-        holder = a_holder(wire, peers, vms=2)
+        transport, peers = RecordingTransport(), PeerTable("vm-0", clock=LoopClock())
+        holder = a_holder(transport, peers, vms=2)
         for name in ("i-1", "i-2", "i-3"):
             holder.moves.note(name, "m1", "", True)
-            assert wire.moved[-1] == name
+            assert transport.moved_servers[-1] == name
 
     with asyncio.Runner(loop_factory=VirtualLoop) as runner:
         runner.run(run())
--- a/tests/test_lease_backing.py
+++ b/tests/test_lease_backing.py
@@ -1,4 +1,4 @@
-"""A holder that can't reach the store goes on while the others keep off."""
+"""A holder without the store keeps its lease while peers acknowledge it."""
 
 import asyncio
 from collections.abc import Awaitable, Callable
@@ -13,12 +13,12 @@
 
 from rosepath.clock import ManualClock
 from rosepath.fleet import Fleet
-from rosepath.lease_backing import LeaseBacking
+from rosepath.lease_backing import LeaseExtension
 from rosepath.peer_link import PeerLink
 from rosepath.peer_table import PeerTable
 from rosepath.placement_coordinator import (
-    FINISH_S,
-    HAND_BACK_S,
+    FINISH_ORDERS_MAX_S,
+    RELEASE_TIMEOUT_S,
     PlacementCoordinator,
 )
 from rosepath.prompt_caches import PromptCaches
@@ -28,7 +28,7 @@
 
 @dataclass
 class Node:
-    """One VM's part in the lease, and the words that it speaks."""
+    """One VM: its coordinator, and its link for state messages."""
 
     name: str
     peers: PeerTable
@@ -40,45 +40,45 @@
     def tell(self) -> None:
         return
 
-    def hear(self, state: Any) -> None:
+    def receive(self, state: Any) -> None:
         if self.peers.take(state):
             self.coordinator.hear_peer(state)
 
 
 class Store(FakePlatform):
-    """Answer only those whose store is not down."""
+    """A shared store that some VMs cannot reach."""
 
     def __init__(self) -> None:
         super().__init__()
         self.unreached_by: set[str] = set()
-        # Runs once, while the next write is on its way.
+        # Runs once, before the next write is applied.
         self.before_write: Callable[[], Awaitable[None]] | None = None
-        # Runs once, while the answer to the next write is on its way.
+        # Runs once, after the next write is applied and before its reply.
         self.after_write: Callable[[], Awaitable[None]] | None = None
 
-    def seen_by(self, name: str) -> "SeenStore":
-        return SeenStore(self, name)
+    def view_for(self, name: str) -> "StoreOfVm":
+        return StoreOfVm(self, name)
 
 
-class SeenStore:
-    """The store as one VM sees it."""
+class StoreOfVm:
+    """The store as one VM reaches it."""
 
     def __init__(self, store: Store, name: str) -> None:
         self._store, self._name = store, name
 
-    def __getattr__(self, what: str) -> Any:
+    def __getattr__(self, attribute: str) -> Any:
         self._store.down = self._name in self._store.unreached_by
-        return getattr(self._store, what)
+        return getattr(self._store, attribute)
 
     async def put(self, name: str, value: bytes, *, expected_version: int) -> int:
-        meanwhile, self._store.before_write = self._store.before_write, None
-        if meanwhile is not None:
-            await meanwhile()
+        callback, self._store.before_write = self._store.before_write, None
+        if callback is not None:
+            await callback()
         self._store.down = self._name in self._store.unreached_by
         version = await self._store.put(name, value, expected_version=expected_version)
-        meanwhile, self._store.after_write = self._store.after_write, None
-        if meanwhile is not None:
-            await meanwhile()
+        callback, self._store.after_write = self._store.after_write, None
+        if callback is not None:
+            await callback()
         return version
 
 
@@ -87,7 +87,7 @@
     coordinator = PlacementCoordinator(
         entry_settings(name),
         clock=clock,
-        store=cast(Any, store.seen_by(name)),
+        store=cast(Any, store.view_for(name)),
         engines=cast(Any, None),
         fleet=Fleet(),
         caches=PromptCaches(),
@@ -105,7 +105,7 @@
     return node
 
 
-def speak(node: Node, others: list[Node]) -> None:
+def send_state(node: Node, others: list[Node]) -> None:
     node.number += 1
     node.coordinator.note_word(node.number)
     state = replace(
@@ -119,7 +119,7 @@
         acted_ago_s=node.coordinator.acted_ago_s,
     )
     for other in others:
-        other.hear(state)
+        other.receive(state)
 
 
 def three_nodes() -> tuple[list[Node], Store, ManualClock]:
@@ -130,24 +130,25 @@
 async def play(
     nodes: list[Node],
     clock: ManualClock,
-    seconds_s: float,
+    duration_s: float,
     *,
     speaking: Callable[[Node], bool] = lambda _: True,
 ) -> None:
-    """Let all step and speak as they do, every 0.15 s."""
-    end_s = clock.monotonic_s() + seconds_s
+    """Let the nodes step and send their state every 0.15 s."""
+    end_s = clock.monotonic_s() + duration_s
     while clock.monotonic_s() < end_s:
         clock.advance(0.15)
         for node in nodes:
             await node.coordinator.step_lease()
             if speaking(node):
-                speak(node, [other for other in nodes if other is not node])
+                send_state(node, [other for other in nodes if other is not node])
         assert sum(node.coordinator.holds for node in nodes) <= 1
 
 
-def test_an_outage_of_the_store_does_not_end_a_holders_orders() -> None:
-    # The store answers nobody for ten seconds, five times as long as a lease.
-    # Nobody could take it, yet models stood unordered until the store was back.
+def test_a_store_outage_does_not_end_the_holders_lease() -> None:
+    # The store answers no VM for ten seconds, five times the duration of a
+    # lease. No VM can acquire the lease meanwhile, so unless the holder keeps
+    # it, no models are ordered until the store is back.
     async def run() -> None:
         nodes, store, clock = three_nodes()
         await play(nodes, clock, 3.0)
@@ -164,8 +165,8 @@
     asyncio.run(run())
 
 
-def test_a_holder_that_others_stop_hearing_stops_before_they_take_over() -> None:
-    # The holder is cut off from the store and from one of the others.
+def test_a_holder_without_acknowledgements_stops_before_a_takeover() -> None:
+    # The holder cannot reach the store, and its state messages are lost.
     async def run() -> None:
         nodes, store, clock = three_nodes()
         await play(nodes, clock, 3.0)
@@ -178,7 +179,7 @@
     asyncio.run(run())
 
 
-def test_a_lost_holder_is_followed_within_four_seconds() -> None:
+def test_a_dead_holder_is_replaced_within_four_seconds() -> None:
     async def run() -> None:
         nodes, _, clock = three_nodes()
         await play(nodes, clock, 3.0)
@@ -190,10 +191,10 @@
     asyncio.run(run())
 
 
-def test_a_holder_that_stops_in_an_outage_hands_over_by_word() -> None:
-    # The store answers nobody as the holder is stopped. Nobody could take the
-    # lease from the store, and models stood unordered until it was back. The
-    # write takes its time to fail; meanwhile the holder's own loop goes on.
+def test_a_holder_stopping_in_an_outage_hands_over_directly() -> None:
+    # The holder stops while the store answers no VM. Without a direct
+    # handover, no VM can acquire the lease and no models are ordered until the
+    # store is back. The holder's own loop runs on until the write fails.
     async def run() -> None:
         nodes, store, clock = three_nodes()
         await play(nodes, clock, 3.0)
@@ -216,17 +217,17 @@
     asyncio.run(run())
 
 
-async def for_long() -> None:
+async def take_a_minute() -> None:
     await asyncio.sleep(60.0)
 
 
 @pytest.mark.parametrize("carried_out", [False, True])
-def test_a_lease_that_is_not_handed_back_in_time_has_an_heir(
+def test_a_lease_not_released_in_time_is_handed_over_directly(
     carried_out: bool,
 ) -> None:
-    # The store takes a minute to take the lease back, or has taken it back and its
-    # answer takes that long. The stop waits for neither; whoever stops orders no
-    # more, and one VM at most does from then on.
+    # The store takes a minute to apply the release or to reply to it. The stop
+    # waits for neither. The stopping VM sends no more orders, and at most one
+    # VM does from then on.
     async def run() -> None:
         loop = asyncio.get_running_loop()
         nodes, store, clock = three_nodes()
@@ -235,12 +236,12 @@
         others = [node for node in nodes if node is not holder]
         holder.stopping = True
         if carried_out:
-            store.after_write = for_long
+            store.after_write = take_a_minute
         else:
-            store.before_write = for_long
+            store.before_write = take_a_minute
         begun_s = loop.time()
         await holder.coordinator.give_up()
-        assert loop.time() - begun_s < HAND_BACK_S + 0.1
+        assert loop.time() - begun_s < RELEASE_TIMEOUT_S + 0.1
         assert holder.coordinator.bequest.heir in {node.name for node in others}
         for _ in range(40):
             await play(nodes, clock, 0.15)
@@ -252,10 +253,10 @@
         runner.run(run())
 
 
-def test_a_holder_that_stops_in_an_outage_ends_its_swaps_by_the_others_word() -> None:
-    # Its own lease lapsed long ago; the others' word backs it. No longer backed
-    # once it stops, it could not order the load that was to follow an unload;
-    # and resigned by its own loop meanwhile, it would name no heir.
+def test_a_holder_stopping_in_an_outage_keeps_the_lease_for_its_swaps() -> None:
+    # The lease has expired and only the peers' acknowledgements extend it. If
+    # the extension ended with the stop, the holder could not order the load
+    # that follows an unload; if its loop resigned, it would name no successor.
     async def run() -> None:
         nodes, store, clock = three_nodes()
         await play(nodes, clock, 3.0)
@@ -281,10 +282,10 @@
     asyncio.run(run())
 
 
-def test_a_holder_that_loses_its_lease_while_it_ends_its_swaps_says_so() -> None:
-    # The others are no longer heard meanwhile. Its own loop resigned; then the
-    # lease was given up once more, as one that it did not hold, and the word
-    # that it acts no more was taken back.
+def test_a_holder_losing_its_lease_during_its_swaps_resigns() -> None:
+    # The holder receives no acknowledgements while it finishes its swaps, so
+    # it no longer holds the lease. The release that follows must not clear the
+    # version that it announces as resigned.
     async def run() -> None:
         nodes, store, clock = three_nodes()
         await play(nodes, clock, 3.0)
@@ -304,10 +305,11 @@
     asyncio.run(run())
 
 
-def test_the_fence_of_an_heir_is_not_used_again() -> None:
-    # An heir that was never written to the store stops, too. Whoever then takes
-    # the lease from the store finds there the term from before both, and gave
-    # its orders the heir's fence: engines saw two masters with one.
+def test_the_fencing_token_of_a_direct_handover_is_not_reused() -> None:
+    # A successor that never wrote to the store stops, too. The next VM to
+    # acquire the lease reads the term from before the handover there. Its
+    # fencing token must exceed the successor's, or engines take orders of two
+    # holders under one.
     async def run() -> None:
         nodes, store, clock = three_nodes()
         await play(nodes, clock, 3.0)
@@ -320,16 +322,16 @@
         fence = heir.coordinator.term
         last = next(node for node in nodes if node not in (holder, heir))
         store.unreached_by = set()
-        fresh = a_node(last.name, store, clock)
-        await play([fresh], clock, 5.0)
-        assert fresh.coordinator.term > fence
+        restarted = a_node(last.name, store, clock)
+        await play([restarted], clock, 5.0)
+        assert restarted.coordinator.term > fence
 
     asyncio.run(run())
 
 
-def test_a_vm_that_is_gone_for_good_does_not_have_to_back_a_holder() -> None:
-    # A VM was removed long before the outage. As nobody heard from it whose
-    # word it heard last, the holder's lease ended two seconds into the outage.
+def test_a_removed_vm_does_not_have_to_acknowledge_the_holder() -> None:
+    # A VM was removed long before the outage. If its acknowledgement were
+    # still required, the holder's lease would end two seconds into the outage.
     async def run() -> None:
         nodes, store, clock = three_nodes()
         await play(nodes, clock, 3.0)
@@ -344,7 +346,7 @@
     asyncio.run(run())
 
 
-def test_an_heir_that_is_not_backed_leaves_the_lease_to_the_store() -> None:
+def test_a_successor_without_all_acknowledgements_drops_the_lease() -> None:
     async def run() -> None:
         nodes, store, clock = three_nodes()
         await play(nodes, clock, 3.0)
@@ -363,16 +365,16 @@
     asyncio.run(run())
 
 
-def test_words_that_are_not_known_back_nothing() -> None:
-    backing = LeaseBacking(silent_s=1.0)
-    assert backing.until_s([]) < 0
-    backing.note_sent(1, now_s=100.0)
-    backing.note_heard("vm-b", 1)
-    assert backing.until_s(["vm-b"]) == 101.0
-    assert backing.until_s(["vm-b", "vm-c"]) < 0
+def test_unknown_messages_do_not_extend_a_lease() -> None:
+    extension = LeaseExtension(silence_s=1.0)
+    assert extension.extended_until_s([]) < 0
+    extension.note_sent(1, now_s=100.0)
+    extension.note_ack("vm-b", 1)
+    assert extension.extended_until_s(["vm-b"]) == 101.0
+    assert extension.extended_until_s(["vm-b", "vm-c"]) < 0
 
 
-trouble = st.tuples(
+fault = st.tuples(
     st.sampled_from([*NAMES, "none"]),
     st.sampled_from([*NAMES, "all", "none"]),
     st.sampled_from([*NAMES, "none", "none"]),
@@ -380,31 +382,34 @@
 )
 
 
-@pytest.mark.parametrize("swaps_s", [0.0, FINISH_S])
+@pytest.mark.parametrize("finish_s", [0.0, FINISH_ORDERS_MAX_S])
 @settings(deadline=None, max_examples=60)
-@given(st.lists(trouble, min_size=1, max_size=8))
-def test_no_two_hold_the_lease(
-    swaps_s: float,
-    troubles: list[tuple[str, str, str, float]],
+@given(st.lists(fault, min_size=1, max_size=8))
+def test_at_most_one_vm_holds_the_lease(
+    finish_s: float,
+    faults: list[tuple[str, str, str, float]],
 ) -> None:
-    # One VM is not heard, one or all do not reach the store, one is stopping,
-    # for any time, and ends its swaps first or has none.
+    # For any time, the messages of one VM are lost, one or all VMs cannot
+    # reach the store, and one VM stops, with or without finishing swaps first.
     async def run() -> None:
         nodes, store, clock = three_nodes()
         await play(nodes, clock, 1.0)
-        for mute, unreached, stopped, for_s in troubles:
+        for silent, unreachable, stopped, fault_s in faults:
             for node in nodes:
                 node.stopping = node.name == stopped
                 if node.stopping:
                     node.coordinator.orders.finish = (  # type: ignore[method-assign]
-                        lambda _, mute=mute: play(
-                            nodes, clock, swaps_s, speaking=lambda n: n.name != mute
+                        lambda _, silent=silent: play(
+                            nodes, clock, finish_s, speaking=lambda n: n.name != silent
                         )
                     )
                     await node.coordinator.give_up()
-            store.unreached_by = set(NAMES) if unreached == "all" else {unreached}
+            store.unreached_by = set(NAMES) if unreachable == "all" else {unreachable}
             await play(
-                nodes, clock, for_s, speaking=lambda node, mute=mute: node.name != mute
+                nodes,
+                clock,
+                fault_s,
+                speaking=lambda node, silent=silent: node.name != silent,
             )
 
     asyncio.run(run())
--- a/tests/test_lease_handover.py
+++ b/tests/test_lease_handover.py
@@ -1,4 +1,4 @@
-"""Two holders of a lease never act within the handover time of each other."""
+"""Successive holders of a lease keep the pauses between their acts."""
 
 import asyncio
 import math
@@ -29,11 +29,13 @@
 
 @settings(deadline=None, max_examples=200)
 @given(st.lists(step, max_size=80))
-def test_holders_do_not_take_turns(steps: list[tuple[str, float, str]]) -> None:
-    # Holders are paused, cut from the store, resign by word of mouth or hand
-    # the lease back. An order of the one before must have arrived before the
-    # next one's first, and engines take orders of two holders in turns, the
-    # first once more soon after the second, as a sign of two masters.
+def test_holders_keep_the_pauses_between_their_acts(
+    steps: list[tuple[str, float, str]],
+) -> None:
+    # Holders pause, lose the store, resign or release the lease. The last
+    # order of one must arrive ahead of the first order of the next, and a
+    # holder that comes back needs the longer pause: engines take quickly
+    # alternating holders for two concurrent ones.
     async def run() -> None:
         platform, clock = FakePlatform(), ManualClock()
         keepers = {
@@ -41,14 +43,14 @@
             for name in "abc"
         }
         acted: dict[str, float] = {}
-        for name, pause_s, what in steps:
+        for name, pause_s, event in steps:
             clock.advance(pause_s)
-            platform.down = what == "down"
+            platform.down = event == "down"
             keeper = keepers[name]
-            if what in ("resign", "stop") and keeper.valid("l"):
+            if event in ("resign", "stop") and keeper.valid("l"):
                 version = (
                     keeper.resign("l")
-                    if what == "resign"
+                    if event == "resign"
                     else await keeper.give_up("l")
                 )
                 ago_s = clock.monotonic_s() - acted.get(name, -1e9)
@@ -58,8 +60,8 @@
                 await keeper.step("l", wanted=True)
             for other in keepers.values():
                 if keeper.valid("l"):
-                    other.hear("l", version=keeper.version("l"))
-            if what == "act" and keeper.valid("l"):
+                    other.note_announcement("l", version=keeper.version("l"))
+            if event == "act" and keeper.valid("l"):
                 now_s = clock.monotonic_s()
                 for other, last_s in acted.items():
                     if other == name:
@@ -72,9 +74,9 @@
     asyncio.run(run())
 
 
-def test_a_resigned_lease_changes_hands_without_the_wait_for_its_end() -> None:
-    # The holder is cut from the store but heard by the others: models would
-    # stand still until its lease had lapsed.
+def test_a_resigned_lease_is_acquired_before_it_expires() -> None:
+    # The holder cannot reach the store, but the others receive its
+    # resignation. Without it, no VM orders models until the lease expires.
     async def run() -> None:
         platform, clock = FakePlatform(), ManualClock()
         first, second = (
@@ -93,23 +95,24 @@
     asyncio.run(run())
 
 
-def test_a_restarted_holder_takes_up_its_own_lease_at_once() -> None:
+def test_a_restarted_holder_reacquires_its_own_lease_at_once() -> None:
     async def run() -> None:
         platform, clock = FakePlatform(), ManualClock()
-        before = LeaseKeeper(platform, me="a", policy=POLICY, clock=clock)
-        await before.step("l", wanted=True)
-        after = LeaseKeeper(platform, me="a", policy=POLICY, clock=clock)
-        await after.step("l", wanted=True)
-        assert after.valid("l")
-        assert after.term("l") > before.term("l")
+        first = LeaseKeeper(platform, me="a", policy=POLICY, clock=clock)
+        await first.step("l", wanted=True)
+        restarted = LeaseKeeper(platform, me="a", policy=POLICY, clock=clock)
+        await restarted.step("l", wanted=True)
+        assert restarted.valid("l")
+        assert restarted.term("l") > first.term("l")
 
     asyncio.run(run())
 
 
-def test_a_lease_that_another_writer_spoilt_is_waited_out() -> None:
-    # Its object holds bytes that are no lease. Taken for free, it would let a
-    # second holder act beside the one that lives until its next renewal fails;
-    # and a node that just started would begin again at the first fence.
+def test_an_undecodable_lease_is_taken_over_only_after_it_expires() -> None:
+    # The stored bytes are no valid lease. If it counted as free, a second
+    # holder would act beside the live one, whose next renewal has not failed
+    # yet, and a node that has just started would begin again at the first
+    # fencing token.
     async def run() -> None:
         platform, clock = FakePlatform(), ManualClock()
         platform.revision = 40
--- a/tests/test_leases.py
+++ b/tests/test_leases.py
@@ -1,4 +1,4 @@
-"""Leases have one holder at a time, whatever is paused or lost."""
+"""Leases have at most one holder, despite pauses and lost replies."""
 
 import asyncio
 from collections.abc import Awaitable, Callable
@@ -20,7 +20,7 @@
 )
 
 
-def keepers_over(platform: FakePlatform, clock: ManualClock) -> dict[str, LeaseKeeper]:
+def three_keepers(platform: FakePlatform, clock: ManualClock) -> dict[str, LeaseKeeper]:
     return {
         name: LeaseKeeper(platform, me=name, policy=POLICY, clock=clock)
         for name in "abc"
@@ -29,20 +29,20 @@
 
 @settings(deadline=None)
 @given(st.lists(step, max_size=60))
-def test_there_is_never_more_than_one_holder(
+def test_at_most_one_node_holds_a_lease(
     steps: list[tuple[str, float, str]],
 ) -> None:
-    # Keepers step at any time or not at all (paused), replies are lost, the
-    # store is down now and then: no two believe that they hold the lease.
+    # Keepers step at any time or pause, replies are lost, and the store is
+    # down at times. No two keepers consider their lease valid at once.
     async def run() -> None:
         platform, clock = FakePlatform(), ManualClock()
-        keepers = keepers_over(platform, clock)
-        for name, pause_s, what in steps:
+        keepers = three_keepers(platform, clock)
+        for name, pause_s, event in steps:
             clock.advance(pause_s)
-            platform.down = what == "down"
-            if what == "lose":
+            platform.down = event == "down"
+            if event == "lose":
                 platform.lose_replies("leases/l", 1)
-            if what == "give_up":
+            if event == "give_up":
                 await keepers[name].give_up("l")
             else:
                 await keepers[name].step("l", wanted=True)
@@ -51,10 +51,10 @@
     asyncio.run(run())
 
 
-def test_a_dead_holders_lease_is_taken_within_ten_seconds() -> None:
+def test_the_lease_of_a_dead_holder_is_acquired_within_ten_seconds() -> None:
     async def run() -> None:
         clock = ManualClock()
-        keepers = keepers_over(FakePlatform(), clock)
+        keepers = three_keepers(FakePlatform(), clock)
         await keepers["a"].step("l", wanted=True)
         assert keepers["a"].valid("l")
         waited_s = 0.0
@@ -67,10 +67,10 @@
     asyncio.run(run())
 
 
-def test_a_lease_given_up_is_taken_at_once() -> None:
+def test_a_released_lease_can_be_acquired_at_once() -> None:
     async def run() -> None:
         clock = ManualClock()
-        keepers = keepers_over(FakePlatform(), clock)
+        keepers = three_keepers(FakePlatform(), clock)
         await keepers["a"].step("l", wanted=True)
         await keepers["a"].give_up("l")
         await keepers["b"].step("l", wanted=True)
@@ -81,51 +81,51 @@
 
 
 @given(st.binary(max_size=100))
-def test_the_decoder_takes_any_bytes(data: bytes) -> None:
+def test_decode_lease_accepts_any_bytes(data: bytes) -> None:
     decode_lease(StoredObject("l", 1, data))
 
 
-class LatePlatform(FakePlatform):
-    """Leave one write unanswered, and carry it out when told."""
+class LateWritePlatform(FakePlatform):
+    """Fail one write without an answer and apply it later on request."""
 
     def __init__(self) -> None:
         super().__init__()
-        self.hold_next = False
-        self.held: tuple[str, bytes] | None = None
+        self.delay_next = False
+        self.delayed: tuple[str, bytes] | None = None
 
     async def put(
         self, name: str, value: bytes, *, expected_version: int | None
     ) -> int:
-        if self.hold_next:
-            self.hold_next, self.held = False, (name, value)
-            raise unanswered()
+        if self.delay_next:
+            self.delay_next, self.delayed = False, (name, value)
+            raise timeout_error()
         return await super().put(name, value, expected_version=expected_version)
 
-    def carry_out(self) -> None:
-        assert self.held is not None
-        name, value = self.held
+    def apply_delayed(self) -> None:
+        assert self.delayed is not None
+        name, value = self.delayed
         self.revision += 1
         self.objects[name] = StoredObject(name, self.revision, value)
 
 
-def unanswered() -> StoreError:
+def timeout_error() -> StoreError:
     error = StoreError("no answer in time", step=Step.STORE)
     error.unknown = True
     return error
 
 
-def test_a_renewal_that_is_carried_out_late_does_not_end_its_own_lease() -> None:
-    # The store answers a renewal not at all and carries it out a second later.
-    # The next renewal then met a version that its sender had never seen, and
-    # the holder gave up a lease that nobody else had.
+def test_a_renewal_applied_late_does_not_end_the_lease() -> None:
+    # The store leaves a renewal unanswered and applies it later. The next
+    # renewal then meets a version unknown to its sender, which must recognize
+    # its own write and not drop the lease.
     async def run() -> None:
-        platform, clock = LatePlatform(), ManualClock()
+        platform, clock = LateWritePlatform(), ManualClock()
         keeper = LeaseKeeper(platform, me="a", policy=POLICY, clock=clock)
         await keeper.step("l", wanted=True)
         clock.advance(2.6)
-        platform.hold_next = True
+        platform.delay_next = True
         await keeper.step("l", wanted=True)
-        platform.carry_out()
+        platform.apply_delayed()
         clock.advance(0.2)
         await keeper.step("l", wanted=True)
         assert keeper.holder("l") == "a"
@@ -136,49 +136,50 @@
     asyncio.run(run())
 
 
-class SlowToFail(FakePlatform):
-    """Fail a write without an answer, and without doing it, after a while."""
+class SlowFailurePlatform(FakePlatform):
+    """Run a callback, then fail a write without an answer or an effect."""
 
-    meanwhile: Callable[[], Awaitable[None]] | None = None
+    during_write: Callable[[], Awaitable[None]] | None = None
 
     async def put(
         self, name: str, value: bytes, *, expected_version: int | None
     ) -> int:
-        if self.meanwhile is None:
+        if self.during_write is None:
             return await super().put(name, value, expected_version=expected_version)
-        meanwhile, self.meanwhile = self.meanwhile, None
-        await meanwhile()
+        during_write, self.during_write = self.during_write, None
+        await during_write()
         error = StoreError("no answer", step=Step.STORE)
         error.unknown = True
         raise error
 
 
-async def renewal_outlasted(
-    keepers: dict[str, LeaseKeeper], platform: SlowToFail, clock: ManualClock
+async def lose_lease_during_renewal(
+    keepers: dict[str, LeaseKeeper], platform: SlowFailurePlatform, clock: ManualClock
 ) -> None:
-    """Let a hold the lease, and b take it while a's renewal is on its way."""
+    """Let b acquire the lease of a while a renewal by a is in flight."""
     await keepers["a"].step("l", wanted=True)
     clock.advance(3.0)
 
-    async def b_takes_it() -> None:
+    async def b_acquires() -> None:
         await keepers["b"].step("l", wanted=True)
         clock.advance(6.5)
         await keepers["b"].step("l", wanted=True)
 
-    platform.meanwhile = b_takes_it
+    platform.during_write = b_acquires
     await keepers["a"].step("l", wanted=True)
     assert keepers["b"].valid("l") and not keepers["a"].valid("l")
 
 
-def test_a_lease_found_taken_after_a_failed_renewal_is_left_to_its_holder() -> None:
-    # Two VMs ordered the same engines for most of a second. The first holder's
-    # renewal failed without an answer, and what it then read was the second
-    # holder's lease. Read once more it was unchanged, and counted as unchanged
-    # since the first holder had last looked, long before: taken for lapsed.
+def test_a_lease_taken_over_during_a_failed_renewal_is_not_taken_back() -> None:
+    # The renewal of the first holder fails without an answer, and its next
+    # read finds the lease of the second holder. That version must count as
+    # unchanged only since this read, not since an earlier read of another
+    # version, or the first holder takes it for expired and both send orders to
+    # the same engines.
     async def run() -> None:
-        platform, clock = SlowToFail(), ManualClock()
-        keepers = keepers_over(platform, clock)
-        await renewal_outlasted(keepers, platform, clock)
+        platform, clock = SlowFailurePlatform(), ManualClock()
+        keepers = three_keepers(platform, clock)
+        await lose_lease_during_renewal(keepers, platform, clock)
         clock.advance(1.5)
         await keepers["a"].step("l", wanted=True)
         assert keepers["b"].valid("l")
@@ -187,13 +188,14 @@
     asyncio.run(run())
 
 
-def test_only_its_holder_resigns_a_lease() -> None:
-    # The first holder then said that the version which it had read was resigned:
-    # the second's. Whoever heard that could take the lease from under it.
+def test_a_former_holder_cannot_resign_the_lease_of_its_successor() -> None:
+    # After a failed renewal, the first holder has read the version of the
+    # second. If it announced that version as resigned, a third node could
+    # acquire the lease while the second still holds it.
     async def run() -> None:
-        platform, clock = SlowToFail(), ManualClock()
-        keepers = keepers_over(platform, clock)
-        await renewal_outlasted(keepers, platform, clock)
+        platform, clock = SlowFailurePlatform(), ManualClock()
+        keepers = three_keepers(platform, clock)
+        await lose_lease_during_renewal(keepers, platform, clock)
         assert keepers["a"].resign("l") == 0
 
     asyncio.run(run())
