--- a/src/rosepath/lease_keeper.py
+++ b/src/rosepath/lease_keeper.py
@@ -45,12 +45,12 @@
         self._me = me
         self._clock = clock
         self._first_seen_s: dict[str, float] = {}
-        self._announced_version: dict[str, int] = {}
-        self._announced_version_at_s: dict[str, float] = {}
-        self._announced_at_s: dict[str, float] = {}
+        self._announced: dict[str, int] = {}
+        self._announced_s: dict[str, float] = {}
+        self._last_announced_s: dict[str, float] = {}
         self._resignations: dict[str, Resignation] = {}
-        # Returns the quarantined requests that this node writes into its
-        # leases, and receives those of each lease that it reads.
+        # Callbacks that return the quarantined requests to write into a lease,
+        # and receive those of each lease that is read.
         self.quarantined: Callable[[], tuple[str, ...]] = tuple
         self.on_quarantined: Callable[[tuple[str, ...]], None] = lambda _: None
         self.policy = policy
@@ -80,10 +80,10 @@
         store has.
         """
         now_s = self._clock.monotonic_s()
-        self._announced_at_s[name] = now_s
-        if version > self._announced_version.get(name, 0):
-            self._announced_version[name] = version
-            self._announced_version_at_s[name] = now_s
+        self._last_announced_s[name] = now_s
+        if version > self._announced.get(name, 0):
+            self._announced[name] = version
+            self._announced_s[name] = now_s
 
     def hear_resigned(self, name: str, *, version: int, acted_ago_s: float) -> None:
         """Record that the holder of a version has stopped acting."""
@@ -116,7 +116,7 @@
         only as far as peers' acknowledgements extend it.
         """
         row = self.rows.setdefault(name, LeaseRow(name=name))
-        newest = max(row.version, self._announced_version.get(name, 0))
+        newest = max(row.version, self._announced.get(name, 0))
         if row.holder == self._me or version < newest or fence < row.fence:
             return False
         now_s = self._clock.monotonic_s()
@@ -209,7 +209,7 @@
                 first_seen_s=first_seen_s,
                 policy=self.policy,
                 resigned=resigned,
-                last_announced_s=self._announced_at_s.get(row.name, -1e9),
+                last_announced_s=self._last_announced_s.get(row.name, -1e9),
             )
             grounds = self._takeover_grounds(row)
             await self._write(row, term=row.term + 1, grounds=grounds)
@@ -233,11 +233,9 @@
         # The expiry of a version is timed from its first read, or from its
         # announcement if that came earlier.
         if version != row.version or row.name not in self._first_seen_s:
-            announced = version != 0 and version == self._announced_version.get(
-                row.name
-            )
+            announced = version != 0 and version == self._announced.get(row.name)
             self._first_seen_s[row.name] = (
-                self._announced_version_at_s[row.name] if announced else now_s
+                self._announced_s[row.name] if announced else now_s
             )
         row.version = version
         row.holder = ""
@@ -338,7 +336,7 @@
         row.checked_at_s = -1e9
 
     async def give_up(self, name: str) -> int:
-        """Release a lease; return the version that ends or releases it, or 0."""
+        """Release a lease; return the version of its end, or 0."""
         row = self.rows.get(name)
         if row is None or row.holder != self._me:
             return 0
--- a/src/rosepath/placement_coordinator.py
+++ b/src/rosepath/placement_coordinator.py
@@ -29,7 +29,8 @@
 # A single renewal may fail by chance; two in a row mean that the store fails.
 RESIGN_AFTER_OVERDUE_S = 0.5
 LEASE_NAME = "placement"
-# A successor that not all other VMs have acknowledged by then drops the lease.
+# A successor drops the lease unless all other VMs acknowledge it within this
+# time.
 HANDOVER_CLAIM_S = 2.0
 # How long after the last state message of the holder another VM reads the
 # lease to take it over. Eight messages lost in a row, or four in a large
--- a/tests/test_lease_backing.py
+++ b/tests/test_lease_backing.py
@@ -221,9 +221,9 @@
     await asyncio.sleep(60.0)
 
 
-@pytest.mark.parametrize("carried_out", [False, True])
+@pytest.mark.parametrize("applied", [False, True])
 def test_a_lease_not_released_in_time_is_handed_over_directly(
-    carried_out: bool,
+    applied: bool,
 ) -> None:
     # The store takes a minute to apply the release or to reply to it. The stop
     # waits for neither. The stopping VM sends no more orders, and at most one
@@ -235,7 +235,7 @@
         holder = next(node for node in nodes if node.coordinator.holds)
         others = [node for node in nodes if node is not holder]
         holder.stopping = True
-        if carried_out:
+        if applied:
             store.after_write = take_a_minute
         else:
             store.before_write = take_a_minute
@@ -389,7 +389,7 @@
     finish_s: float,
     faults: list[tuple[str, str, str, float]],
 ) -> None:
-    # For any time, the messages of one VM are lost, one or all VMs cannot
+    # For random times, the messages of one VM are lost, one or all VMs cannot
     # reach the store, and one VM stops, with or without finishing swaps first.
     async def run() -> None:
         nodes, store, clock = three_nodes()
