--- a/src/rosepath/attempt.py
+++ b/src/rosepath/attempt.py
@@ -1,4 +1,4 @@
-"""One try of a request at one backend server, and what is known afterwards."""
+"""One attempt of a request at one backend server, and its outcome."""
 
 import asyncio
 from collections.abc import Awaitable, Callable
@@ -7,7 +7,7 @@
 from rosepath.caller_call import CallerCall
 from rosepath.clock import Clock
 from rosepath.errors import ExchangeError, RosepathError, Step
-from rosepath.event_order import EventOrder, EventOrderError
+from rosepath.event_sequence import EventSequence, EventSequenceError
 from rosepath.fleet import BackendServer
 from rosepath.http_client import HttpPool, Request, ResponseHead
 from rosepath.http_exchange import says_its_end
@@ -20,19 +20,19 @@
 from rosepath.retries import Evidence
 from rosepath.server_notice import ServerNotice
 
-# Within one data centre a connection takes a millisecond, between two a few.
+# Connecting takes about 1 ms within a data centre and a few ms between two.
 CONNECT_TIMEOUT_S = 0.4
-# A non-idempotent request must not be spent on a connection that has gone
-# silent. The kernel's probes of idle connections find that out within three
-# seconds, so one that answered this recently, or outlived them, is live.
+# A non-idempotent request must not be lost on a dead connection. The kernel's
+# keepalive probes detect one within three seconds, so a connection that received
+# data this recently, or survived the probes, is live.
 PROVEN_LIVE_WITHIN_S = 3.0
 
 
 class AttemptError(RosepathError):
-    """A try ended without an answer that counts.
+    """An attempt ended without a valid response.
 
-    `lost` says that the server's end of the connection went away during the
-    run, `answered` that the server had begun to answer before.
+    `lost` means that the server's end of the connection closed while the request
+    ran, `answered` that the server had begun its response before.
     """
 
     def __init__(
@@ -59,7 +59,7 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class Answer:
-    """Hold a backend server's own answer; a stream's body is passed on already."""
+    """Hold a backend server's response; events of a stream are not in the body."""
 
     head: ResponseHead
     facts: AnswerFacts
@@ -67,7 +67,7 @@
 
     @property
     def delimited(self) -> bool:
-        """Tell whether the answer itself says where it ends."""
+        """Tell whether the headers delimit the body (not the connection's close)."""
         return says_its_end(self.head.headers)
 
     @property
@@ -76,18 +76,18 @@
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
-class Sending:
-    """Say how a request goes to a server: until when, and what is added.
+class AttemptOptions:
+    """Set the limits, added headers and callbacks of one attempt.
 
-    `patience_s` bounds the silence before its answer begins, `pause_s` after.
-    `still_wanted` is asked right before the first byte goes out, `may_break_off`
-    before a silent server is left. `on_notice` is told what the head of an answer
-    says of the server.
+    `response_timeout_s` limits the silence before the response begins,
+    `stall_timeout_s` the silence after. `still_wanted` is called right before the
+    first byte is sent, and `may_break_off` before an exchange with a silent
+    server is ended. `on_notice` receives the notice in the response's headers.
     """
 
     deadline_s: float
-    patience_s: float
-    pause_s: float
+    response_timeout_s: float
+    stall_timeout_s: float
     repeatable: bool
     priority: int | None = None
     last_event_id: int | None = None
@@ -96,11 +96,11 @@
     on_notice: Callable[[ServerNotice], None] = lambda _: None
 
 
-OnStream = Callable[[ResponseHead, bytes], Awaitable[None] | None]
+OnEvents = Callable[[ResponseHead, bytes], Awaitable[None] | None]
 
 
 class Attempts:
-    """Run tries over pooled connections."""
+    """Send attempts over pooled connections."""
 
     def __init__(self, pool: HttpPool, *, clock: Clock) -> None:
         self._pool = pool
@@ -110,14 +110,14 @@
         self,
         call: CallerCall,
         server: BackendServer,
-        sending: Sending,
+        options: AttemptOptions,
         *,
-        order: EventOrder | None = None,
-        on_events: OnStream | None = None,
+        event_sequence: EventSequence | None = None,
+        on_events: OnEvents | None = None,
     ) -> Answer:
-        """Run one try; raises AttemptError.
+        """Run one attempt; raises AttemptError.
 
-        With `on_events`, the events of a successful answer are passed on as
+        With `on_events`, the events of a successful response are passed on as
         they arrive, each once and in order.
         """
         body: list[bytes] = []
@@ -126,15 +126,15 @@
         def on_head(head: ResponseHead) -> None:
             facts = read_answer(head.status, head.headers)
             heads.append((head, facts))
-            sending.on_notice(facts.notice)
+            options.on_notice(facts.notice)
 
         def on_data(data: bytes) -> Awaitable[None] | None:
             head, facts = heads[0]
             streams = head.status == 200 and facts.signed and not facts.encoded
-            if on_events is None or order is None or not streams:
+            if on_events is None or event_sequence is None or not streams:
                 body.append(data)
                 return None
-            events = order.feed(data)
+            events = event_sequence.feed(data)
             return on_events(head, events) if events else None
 
         now_s = self._clock.monotonic_s()
@@ -146,37 +146,40 @@
             headers=encode_headers(
                 call,
                 server=server.name,
-                left_s=sending.deadline_s - now_s,
-                priority=sending.priority,
-                last_event_id=sending.last_event_id,
+                left_s=options.deadline_s - now_s,
+                priority=options.priority,
+                last_event_id=options.last_event_id,
             ),
             body=call.body,
-            connect_timeout_s=min(CONNECT_TIMEOUT_S, sending.deadline_s - now_s),
-            progress_timeout_s=sending.patience_s,
-            pause_timeout_s=sending.pause_s,
-            proven_live_within_s=None if sending.repeatable else PROVEN_LIVE_WITHIN_S,
+            connect_timeout_s=min(CONNECT_TIMEOUT_S, options.deadline_s - now_s),
+            progress_timeout_s=options.response_timeout_s,
+            pause_timeout_s=options.stall_timeout_s,
+            proven_live_within_s=None if options.repeatable else PROVEN_LIVE_WITHIN_S,
             accepts=lambda head: belongs_to(call, head.headers),
-            still_wanted=sending.still_wanted,
-            may_break_off=sending.may_break_off,
+            still_wanted=options.still_wanted,
+            may_break_off=options.may_break_off,
         )
         try:
-            async with asyncio.timeout(sending.deadline_s - now_s):
+            async with asyncio.timeout(options.deadline_s - now_s):
                 head = await self._pool.exchange(
                     request, on_head=on_head, on_data=on_data
                 )
         except ExchangeError as error:
-            raise self._broken(error, order, heads) from error
+            raise self._attempt_error(error, event_sequence, heads) from error
         except TimeoutError as error:
             raise AttemptError(
                 "no whole answer in time",
                 step=Step.ANSWER,
                 peer=server.name,
-                evidence=_begun(order),
+                evidence=_evidence_of(event_sequence),
                 timed_out=True,
             ) from error
-        except EventOrderError as error:
+        except EventSequenceError as error:
             raise AttemptError(
-                str(error), step=Step.STREAM, peer=server.name, evidence=_begun(order)
+                str(error),
+                step=Step.STREAM,
+                peer=server.name,
+                evidence=_evidence_of(event_sequence),
             ) from error
         facts = heads[0][1]
         if facts.not_run:
@@ -192,27 +195,27 @@
                 f"an answer of {head.status} that is not the server's",
                 step=Step.ANSWER,
                 peer=server.name,
-                evidence=_begun(order),
+                evidence=_evidence_of(event_sequence),
                 status=head.status,
             )
-        if order is not None and order.unfinished:
+        if event_sequence is not None and event_sequence.has_partial_event:
             raise AttemptError(
                 "the stream ended within an event",
                 step=Step.STREAM,
                 peer=server.name,
-                evidence=_begun(order),
+                evidence=_evidence_of(event_sequence),
                 lost=True,
                 answered=True,
             )
         return Answer(head=head, facts=facts, body=b"".join(body))
 
-    def _broken(
+    def _attempt_error(
         self,
         error: ExchangeError,
-        order: EventOrder | None,
+        event_sequence: EventSequence | None,
         heads: list[tuple[ResponseHead, AnswerFacts]],
     ) -> AttemptError:
-        evidence = _begun(order)
+        evidence = _evidence_of(event_sequence)
         if not error.sent:
             evidence = Evidence.NOT_SENT
         elif heads and heads[0][1].not_run:
@@ -229,7 +232,7 @@
         )
 
 
-def _begun(order: EventOrder | None) -> Evidence:
-    if order is not None and order.events:
+def _evidence_of(event_sequence: EventSequence | None) -> Evidence:
+    if event_sequence is not None and event_sequence.events:
         return Evidence.ANSWER_BEGUN
     return Evidence.SENT
--- a/src/rosepath/call_deadline.py
+++ b/src/rosepath/call_deadline.py
@@ -1,11 +1,11 @@
-"""A deadline of a call that moves on as its answer arrives."""
+"""A call timeout that can be extended while the response arrives."""
 
 import asyncio
 from typing import Any
 
 
 class CallDeadline:
-    """Cancel a call unless it ends, or is put off, in time."""
+    """Cancel a call that has neither ended nor been extended in time."""
 
     def __init__(self, call: asyncio.Future[Any], *, limit_s: float) -> None:
         self._call = call
@@ -13,15 +13,16 @@
         self._timer = self._loop.call_later(limit_s, self._expire)
 
     def put_off(self, limit_s: float) -> None:
-        """Let the call go on for a time that begins anew."""
+        """Restart the timer with a new limit."""
         self._timer.cancel()
         self._timer = self._loop.call_later(limit_s, self._expire)
 
     def lift(self) -> None:
-        """Let the call go on for as long as it takes."""
+        """Stop the timer, so that the call has no time limit."""
         self._timer.cancel()
 
     def _expire(self) -> None:
-        # What arrived while the VM itself stood still is read in the turn of the
-        # loop in which the timer is due: it counts, a turn later.
+        # If the VM was paused, data that arrived meanwhile is read in the same
+        # loop iteration in which the timer fires. Cancelling one iteration later
+        # lets that data count.
         self._loop.call_soon(self._call.cancel)
--- a/src/rosepath/deadlines.py
+++ b/src/rosepath/deadlines.py
@@ -1,4 +1,4 @@
-"""Exchanges that end with the time of their request."""
+"""Time limit of HTTP exchanges with backend servers."""
 
 import asyncio
 from collections.abc import AsyncIterator
@@ -9,9 +9,10 @@
 
 @asynccontextmanager
 async def ended_in_time(left_s: float, peer: str) -> AsyncIterator[None]:
-    """End an exchange as its time is over; raises ExchangeError.
+    """Cancel an exchange after `left_s`; raises ExchangeError.
 
-    A request that stays with a silent server is only looked at now and then.
+    The stall checks alone run too rarely to end an exchange with a silent
+    server at its deadline.
     """
     try:
         async with asyncio.timeout(left_s):
--- a/src/rosepath/event_order.py
+++ b/src/rosepath/event_sequence.py
@@ -1,4 +1,4 @@
-"""Check that a caller's stream has each event once and in order."""
+"""Check that a stream delivers each event to its caller once and in order."""
 
 from dataclasses import dataclass
 
@@ -6,32 +6,32 @@
 MAX_EVENT_BYTES = 1 << 20
 
 
-class EventOrderError(Exception):
-    """An event is missing, or cannot be read: the stream can't go on."""
+class EventSequenceError(Exception):
+    """An event is missing or too large; the attempt cannot continue."""
 
 
 @dataclass(slots=True)
-class EventOrder:
-    """Hold how far a caller's stream has come, over all its attempts."""
+class EventSequence:
+    """Hold the position of a caller's stream across its attempts."""
 
     last_id: int | None = None
     events: int = 0
     _pending: bytes = b""
 
-    def restart(self) -> None:
-        """Forget the unfinished event of the attempt that broke."""
+    def discard_partial_event(self) -> None:
+        """Drop the partial event of an attempt that was interrupted."""
         self._pending = b""
 
     @property
-    def unfinished(self) -> bool:
-        """Tell whether the stream stands in the middle of an event."""
+    def has_partial_event(self) -> bool:
+        """Tell whether the data received so far ends within an event."""
         return bool(self._pending.strip())
 
     def feed(self, data: bytes) -> bytes:
-        """Take bytes of an attempt; return the whole events to pass on."""
+        """Take the bytes of an attempt; return the complete new events."""
         whole, separator, self._pending = (self._pending + data).rpartition(_SEPARATOR)
         if len(self._pending) > MAX_EVENT_BYTES:
-            raise EventOrderError("an event is too large")
+            raise EventSequenceError("an event is too large")
         if not separator:
             return b""
         passed = [
@@ -46,10 +46,10 @@
         if event_id is None:
             return True
         if self.last_id is not None and event_id <= self.last_id:
-            # A resumed attempt may begin before the point that was asked for.
+            # A resumed attempt may begin before the requested event.
             return False
         if self.last_id is not None and event_id != self.last_id + 1:
-            raise EventOrderError(f"events {self.last_id + 1} to {event_id} missing")
+            raise EventSequenceError(f"events {self.last_id + 1} to {event_id} missing")
         self.last_id = event_id
         self.events += 1
         return True
--- a/src/rosepath/relay.py
+++ b/src/rosepath/relay.py
@@ -1,4 +1,4 @@
-"""Bring a caller's request to a backend server and the answer back."""
+"""Forward callers' requests to backend servers and their responses back."""
 
 import asyncio
 import json
@@ -7,20 +7,20 @@
 
 from tornado.httputil import HTTPHeaders
 
-from rosepath.attempt import Answer, AttemptError, Sending
+from rosepath.attempt import Answer, AttemptError, AttemptOptions
 from rosepath.caller_call import BadRequestError, CallerCall
 from rosepath.catalog import HostRoute, RouteKind
 from rosepath.crash_watch import life_of
 from rosepath.errors import Refusal, RefusalError, Run, Step, refuse
-from rosepath.event_order import EventOrder
+from rosepath.event_sequence import EventSequence
 from rosepath.fleet import BackendServer, Flight
 from rosepath.gateway import CallerExchange
 from rosepath.http_client import ResponseHead
 from rosepath.logs import get_logger
-from rosepath.next_try import NextTry
 from rosepath.platform.calls import answer_headers, decode_call, refusal_headers
 from rosepath.request_context import RETRY_AFTER_S, RelayPorts, RequestContext
 from rosepath.retries import Evidence
+from rosepath.retry_policy import RetryPolicy
 from rosepath.server_choice import (
     note_answer,
     note_backoff,
@@ -33,28 +33,32 @@
 from rosepath.server_picker import ServerPicker
 from rosepath.suspects import Suspects, lost_run_fields
 
-# A caller's clock runs three milliseconds ahead of ours; what comes later
-# than that before its deadline reaches nobody.
+# Subtracted from each deadline: the caller's clock may run 3 ms ahead of this
+# VM's, and a response that arrives after the caller's deadline is discarded.
 ANSWER_MARGIN_S = 0.02
-# How long a request without a route waits for a newer configuration that is known
-# to exist.
+# How long a request without a route waits for a newer configuration that is
+# known to exist.
 ROUTE_WAIT_S = 0.4
-# Of a host or path as its caller sent it.
+# Length limit of logged hosts and paths, which callers choose.
 MAX_LOGGED_CHARS = 200
 _log = get_logger()
 
 
 class Relay:
-    """Answer callers' requests."""
+    """Route callers' requests, run their attempts and answer them.
+
+    Every request ends in a response, a refusal or a closed connection. Used by
+    the gateway of the entry VM.
+    """
 
     def __init__(self, ports: RelayPorts) -> None:
         self._ports = ports
         self._suspects = Suspects(ports.crashes, clock=ports.clock)
         self._picker = ServerPicker(ports, self._suspects)
-        self._next = NextTry(ports, self._picker)
+        self._retry_policy = RetryPolicy(ports, self._picker)
 
     async def serve(self, exchange: CallerExchange) -> None:
-        """Answer one request, whatever happens to it."""
+        """Answer one request with a server's response or with a refusal."""
         request_id = ""
         try:
             call = decode_call(
@@ -65,7 +69,7 @@
                 arrived_s=exchange.arrived_s,
             )
             request_id = call.request_id
-            context = await self._begin(call, exchange)
+            context = await self._create_context(call, exchange)
         except BadRequestError as error:
             refusal = Refusal(400, "bad_request", str(error), Run.NO, error.step)
             self._refuse_unrouted(exchange, request_id, refusal)
@@ -74,17 +78,17 @@
             self._refuse_unrouted(exchange, request_id, error.refusal)
             return
         try:
-            await self._run(context)
+            await self._run_attempts(context)
         except RefusalError as error:
             self._give_up(context, error)
         finally:
-            self._next.release(context)
+            self._retry_policy.release_retry(context)
             self._suspects.end(context)
 
-    async def _begin(
+    async def _create_context(
         self, call: CallerCall, exchange: CallerExchange
     ) -> RequestContext:
-        if self._find(call) is None and self._ports.configuration().behind:
+        if self._find_route(call) is None and self._ports.configuration().behind:
             await self._wait_for_route(call)
         catalog = self._ports.catalog()
         if catalog is None:
@@ -95,9 +99,9 @@
                 step=Step.ROUTE,
                 retry_after_s=RETRY_AFTER_S,
             )
-        route = self._find(call)
+        route = self._find_route(call)
         if route is None:
-            raise self._unrouted()
+            raise self._no_route_error()
         service = catalog.services.get(route.service_for(call.request_id))
         if service is None:
             raise refuse(
@@ -117,26 +121,31 @@
             exchange=exchange,
             deadline_s=call.arrived_s + limit_s - ANSWER_MARGIN_S,
             configuration=self._ports.configuration(),
-            order=EventOrder(last_id=call.last_event_id) if streams else None,
+            event_sequence=EventSequence(last_id=call.last_event_id)
+            if streams
+            else None,
         )
 
-    def _find(self, call: CallerCall) -> HostRoute | None:
+    def _find_route(self, call: CallerCall) -> HostRoute | None:
         catalog = self._ports.catalog()
         if catalog is None:
             return None
         return catalog.find(call.host, call.path.partition("?")[0])
 
     async def _wait_for_route(self, call: CallerCall) -> None:
-        """Wait a moment for a newer configuration that may have a request's route."""
+        """Wait up to ROUTE_WAIT_S for a configuration that has the request's route."""
         with suppress(TimeoutError):
             async with (
                 asyncio.timeout(min(ROUTE_WAIT_S, call.wait_s or ROUTE_WAIT_S)),
                 self._ports.fleet_changed,
             ):
-                while self._find(call) is None and self._ports.configuration().behind:
+                while (
+                    self._find_route(call) is None
+                    and self._ports.configuration().behind
+                ):
                     await self._ports.fleet_changed.wait()
 
-    def _unrouted(self) -> RefusalError:
+    def _no_route_error(self) -> RefusalError:
         if self._ports.configuration().behind:
             return refuse(
                 503,
@@ -147,33 +156,34 @@
             )
         return refuse(404, "no_route", "no route leads there", step=Step.ROUTE)
 
-    async def _run(self, context: RequestContext) -> None:
+    async def _run_attempts(self, context: RequestContext) -> None:
         while True:
             server, flight = await self._picker.choose(context)
             sent_s = self._now_s()
             try:
-                answer = await self._try(context, server, flight)
+                answer = await self._attempt(context, server, flight)
             except AttemptError as error:
                 context.seen.append(error.evidence)
                 self._note_failed(context, server, error)
                 await self._suspects.note_failed(context, server, flight, error)
-                await self._next.go_on(context, error)
+                await self._retry_policy.wait_to_retry(context, error)
                 continue
             server.moved_s = self._now_s()
             failed = not answer.success
-            if failed and await self._try_again_after(context, server, answer):
+            if failed and await self._retry_error_response(context, server, answer):
                 continue
             note_success(server, took_s=self._now_s() - sent_s)
             self._suspects.clear(context, answer)
             self._finish(context, server, answer)
             return
 
-    async def _try_again_after(
+    async def _retry_error_response(
         self, context: RequestContext, server: BackendServer, answer: Answer
     ) -> bool:
-        """Tell whether a request whose server failed goes on elsewhere.
+        """Tell whether to retry a request that got an error response.
 
-        Raises RefusalError if it neither can nor has an answer to pass on.
+        Raises RefusalError if the request can neither be retried nor the response
+        be passed on.
         """
         if answer.head.status < 500 and not context.exchange.begun:
             return False
@@ -187,16 +197,16 @@
             evidence=Evidence.SENT,
         )
         if context.exchange.begun:
-            # Part of a stream is at its caller already: this answer can't be
-            # passed on, and to end the stream would make it look whole.
-            await self._next.go_on(context, error)
+            # The caller has received part of a stream. This response can't be
+            # passed on, and ending the stream would make it look complete.
+            await self._retry_policy.wait_to_retry(context, error)
             return True
         if not self._picker.has_untried(context):
             return False
-        context.obstacle = self._next.obstacle(context, error)
+        context.obstacle = self._retry_policy.obstacle(context, error)
         return context.obstacle is None
 
-    async def _try(
+    async def _attempt(
         self, context: RequestContext, server: BackendServer, flight: Flight
     ) -> Answer:
         def on_events(head: ResponseHead, events: bytes) -> Awaitable[None] | None:
@@ -208,28 +218,32 @@
                 context.exchange.begin(head.status, answer_headers(head.headers))
             return context.exchange.write(events)
 
-        order = context.order
-        if order is not None:
-            order.restart()
-        begun = order is not None and order.events > 0
-        sending = Sending(
+        event_sequence = context.event_sequence
+        if event_sequence is not None:
+            event_sequence.discard_partial_event()
+        begun = event_sequence is not None and event_sequence.events > 0
+        options = AttemptOptions(
             deadline_s=context.deadline_s,
-            patience_s=self._next.patience_s(context, server),
-            pause_s=self._next.pause_s(context),
+            response_timeout_s=self._retry_policy.response_timeout_s(context, server),
+            stall_timeout_s=self._retry_policy.stall_timeout_s(context),
             repeatable=context.route.repeatable,
-            priority=None if context.service.engine is None else _rank(context.route),
-            last_event_id=order.last_id if order is not None and begun else None,
-            # An adapter and a connection take time, in which a server may leave.
+            priority=None
+            if context.service.engine is None
+            else _engine_priority(context.route),
+            last_event_id=event_sequence.last_id
+            if event_sequence is not None and begun
+            else None,
+            # The server may leave while an adapter is loaded or a connection made.
             still_wanted=lambda: (
                 server.usable
                 and not server.in_backoff(self._now_s())
                 and self._ports.fleet_sound()
                 and self._suspects.may_be_sent(context)
             ),
-            may_break_off=lambda: self._next.leaves(context, server),
-            on_notice=lambda notice: self._heed(server, notice),
+            may_break_off=lambda: self._retry_policy.should_leave(context, server),
+            on_notice=lambda notice: self._apply_notice(server, notice),
         )
-        self._next.note_sent(context)
+        self._retry_policy.consume_retry(context)
         server.flights[context.call.request_id] = flight
         if server.half_open:
             server.probed_s = self._now_s()
@@ -238,16 +252,16 @@
             return await self._ports.attempts.send(
                 context.call,
                 server,
-                sending,
-                order=order,
-                on_events=on_events if order is not None else None,
+                options,
+                event_sequence=event_sequence,
+                on_events=on_events if event_sequence is not None else None,
             )
         finally:
             server.flights.pop(context.call.request_id, None)
             self._suspects.end(context)
 
-    def _heed(self, server: BackendServer, notice: ServerNotice) -> None:
-        """Heed what the head of an answer says of its server."""
+    def _apply_notice(self, server: BackendServer, notice: ServerNotice) -> None:
+        """Apply the notice in a response's headers to the server that sent it."""
         now_s = self._now_s()
         if notice.retry_after_s:
             if not server.in_backoff(now_s):
@@ -277,7 +291,7 @@
             **lost_run_fields(context, server, error),
         )
         if error.withdrawn:
-            # The server did nothing wrong; if it left, the fleet says so.
+            # Not a fault of the server; if it left, the fleet shows it.
             return
         context.tried.add(server.name)
         now_s = self._now_s()
@@ -289,7 +303,7 @@
             silent = error.timed_out or error.evidence is Evidence.NOT_SENT
             note_failure(server, now_s=now_s, silent=silent)
         elif error.status == 421 and context.call.prompt is not None:
-            # It does not hold what we thought it does.
+            # The server no longer holds the model or adapter that it was listed with.
             prompt = context.call.prompt
             if prompt.adapter and prompt.model in server.held:
                 server.held[prompt.model].discard(prompt.adapter)
@@ -338,14 +352,14 @@
             age_s=round(self._now_s() - context.call.arrived_s, 3),
             cut=cut,
             obstacle=context.obstacle,
-            repeats_left=self._next.repeats_left(context),
+            repeats_left=self._retry_policy.retries_left(context),
             **context.configuration.log_fields,
         )
 
     def _refuse_unrouted(
         self, exchange: CallerExchange, request_id: str, refusal: Refusal
     ) -> None:
-        """Refuse what was not understood, or has no route or service here."""
+        """Refuse a request that is malformed or has no route or service."""
         self._refuse(
             exchange,
             request_id,
@@ -354,8 +368,8 @@
             refusal.message,
             refusal.retry_after_s,
         )
-        # A kind of line of its own: many of these, which anybody can cause, leave
-        # the lines of other refusals their share of the log.
+        # A separate event name, so that a flood of such requests, which any
+        # client can cause, does not use up the log quota of other refusals.
         _log.info(
             "request_unrouted",
             request_id=request_id,
@@ -385,7 +399,7 @@
         return self._ports.clock.monotonic_s()
 
 
-def _rank(route: HostRoute) -> int:
-    """Return how urgent a generation is to an engine, 0 first of 9."""
-    patient = 3 if route.target_latency_s > 2.0 else 0
-    return min(9, 1 + 2 * route.priority + patient)
+def _engine_priority(route: HostRoute) -> int:
+    """Return the priority sent to the engine, from 0 (first) to 9."""
+    latency_offset = 3 if route.target_latency_s > 2.0 else 0
+    return min(9, 1 + 2 * route.priority + latency_offset)
--- a/src/rosepath/request_context.py
+++ b/src/rosepath/request_context.py
@@ -1,4 +1,4 @@
-"""A request's context so far, and what those who carry it work with."""
+"""State of a request in progress, and the dependencies of the relay."""
 
 import asyncio
 import random
@@ -14,25 +14,25 @@
 from rosepath.configuration_view import UNKNOWN_CONFIGURATION, ConfigurationView
 from rosepath.content_key import content_key
 from rosepath.crash_watch import CrashWatch
-from rosepath.event_order import EventOrder
+from rosepath.event_sequence import EventSequence
 from rosepath.fleet import BackendServer, Fleet
 from rosepath.gateway import CallerExchange
 from rosepath.prompt_caches import PromptCaches
 from rosepath.retries import Evidence, Obstacle
 from rosepath.retry_window import RetryWindow
-from rosepath.silence import Stay
+from rosepath.silence import StayReason
 
-# When a caller may come back after a refusal: swaps and restarts are over by
-# then more often than not, and most deadlines leave room for a second try.
+# Retry-After of refusals. Most model swaps and restarts have finished by then,
+# and most deadlines leave time for a second attempt.
 RETRY_AFTER_S = 0.5
 
 
-async def _look_nowhere() -> None:
+async def _skip_refresh() -> None:
     return
 
 
 class ModelPort(Protocol):
-    """Tell of demand, and get adapters onto engines."""
+    """Record demand for models, and load adapters onto engines."""
 
     def note_asked(self, service: str, prompt: Prompt) -> None: ...
 
@@ -51,7 +51,7 @@
 
 @dataclass(slots=True, kw_only=True)
 class RelayPorts:
-    """Hold what a relay works with."""
+    """Hold the dependencies of a relay."""
 
     data_centre: str
     clock: Clock
@@ -63,33 +63,33 @@
     models: ModelPort
     fleet_changed: asyncio.Condition
     cut_off: Callable[[], Collection[str]]
-    # Until when a request may wait unsent: a planned stop sets an end to it.
+    # Until when a request that was never sent may wait; limited by a planned stop.
     wait_limit_s: Callable[[], float]
     on_outcome: Callable[["RequestContext", int, str], None]
     crashes: CrashWatch
-    # Told of each answer that says that its server leaves.
+    # Called for each response which states that its server is leaving.
     on_leaving: Callable[[BackendServer], None] = lambda _: None
-    # Whether the fleet is known well enough to send work by it, and a look that
-    # makes it so.
+    # Whether the known fleet is current enough to route by, and the refresh that
+    # makes it current.
     fleet_sound: Callable[[], bool] = lambda: True
-    make_sure: Callable[[], Awaitable[None]] = _look_nowhere
-    # How current the catalog is.
+    make_sure: Callable[[], Awaitable[None]] = _skip_refresh
+    # Version and age of the catalog.
     configuration: Callable[[], ConfigurationView] = lambda: UNKNOWN_CONFIGURATION
     rng: random.Random = field(default_factory=random.Random)
 
 
 @dataclass(kw_only=True)
 class RequestContext:
-    """Hold how a request has fared so far."""
+    """Hold the state of a request across its attempts."""
 
     call: CallerCall
     route: HostRoute
     service: ServiceSpec
     exchange: CallerExchange
     deadline_s: float
-    # As it was when the request was routed.
+    # The configuration in force when the request was routed.
     configuration: ConfigurationView = UNKNOWN_CONFIGURATION
-    order: EventOrder | None = None
+    event_sequence: EventSequence | None = None
     tried: set[str] = field(default_factory=set)
     seen: list[Evidence] = field(default_factory=list)
     first_event_s: float | None = None
@@ -99,20 +99,20 @@
     unread_tokens: int = 0
     predicted_s: float = 0.0
     answered_by: str = ""
-    # Whether a repeat in the budget is held for its next try.
-    holds_repeat: bool = False
-    # Why it stays with a silent server, if it was last seen with one.
-    stays: Stay | None = None
-    # What stood against another try, once one was wanted.
+    # Whether a retry is reserved in the budget for the next attempt.
+    retry_reserved: bool = False
+    # Why it stayed with a silent server at the last check, if it did.
+    stay_reason: StayReason | None = None
+    # What prevented another attempt, if one was needed.
     obstacle: Obstacle | None = None
 
     @cached_property
     def content_key(self) -> str:
-        """Return what the request shares with its repeats."""
+        """Return the key that the request shares with its retries."""
         return content_key(self.call)
 
     def note_events(self, *, now_s: float) -> None:
-        """Note that events came, and how long the stream stood still before."""
+        """Record the arrival of events, and the longest gap between them."""
         if self.first_event_s is None:
             self.first_event_s = now_s
         else:
@@ -121,27 +121,28 @@
         self.last_event_s = now_s
 
     @property
-    def may_have_run(self) -> int:
-        """Return the tries that may have run."""
-        harmless = (Evidence.NOT_SENT, Evidence.REFUSED)
-        return sum(evidence not in harmless for evidence in self.seen)
+    def possibly_run_count(self) -> int:
+        """Return the number of attempts that a server may have run."""
+        not_run = (Evidence.NOT_SENT, Evidence.REFUSED)
+        return sum(evidence not in not_run for evidence in self.seen)
 
     @property
-    def arrivals(self) -> int:
-        """Return the tries that reached a server."""
+    def sent_count(self) -> int:
+        """Return the number of attempts that reached a server."""
         return sum(evidence is not Evidence.NOT_SENT for evidence in self.seen)
 
     @property
     def not_run(self) -> bool:
-        return self.may_have_run == 0
+        return self.possibly_run_count == 0
 
     @property
     def lost_if_refused(self) -> bool:
-        """Tell whether its caller has no way back if it is given up.
+        """Tell whether a refusal would lose the request for its caller.
 
-        What is refused unrun is asked for again, and so is an idempotent request of
-        a plain service; a stream that has begun, or may have, is not.
+        Callers retry requests that were refused without having run, and
+        idempotent requests of plain services. They do not retry a stream that
+        has begun or may have run.
         """
         if self.exchange.begun:
             return True
-        return self.order is not None and not self.not_run
+        return self.event_sequence is not None and not self.not_run
--- a/src/rosepath/retries.py
+++ b/src/rosepath/retries.py
@@ -1,4 +1,4 @@
-"""Whether a failed attempt may be made again, and what to say if not."""
+"""Rules for retrying a failed attempt, and for reporting whether it ran."""
 
 from collections.abc import Callable
 from dataclasses import dataclass
@@ -12,27 +12,27 @@
 
 
 class Budget(Protocol):
-    """Allow repeats as long as there is room for them."""
+    """Grant retries until the budget is spent."""
 
     def spend(self) -> bool: ...
 
 
 @dataclass(slots=True, kw_only=True)
 class RetryBudget:
-    """Earn a share of a retry with each request; spend one a retry.
+    """Token bucket: each request adds a share of a retry, each retry takes one.
 
-    Without it, retries multiply the load just when replicas fail.
+    Prevents retries from multiplying the load while replicas fail.
     """
 
     share: float = 0.1
     balance: float = BUDGET_FLOOR
 
     def earn(self) -> None:
-        """Note one request."""
+        """Record one request."""
         self.balance = min(BUDGET_CAP, self.balance + self.share)
 
     def spend(self) -> bool:
-        """Take one retry, or return False."""
+        """Take one retry; return False if the budget is spent."""
         if self.balance < 1:
             return False
         self.balance -= 1
@@ -40,7 +40,7 @@
 
 
 class Evidence(StrEnum):
-    """Say what is known of an attempt that failed."""
+    """State how far a failed attempt is known to have come."""
 
     NOT_SENT = "not_sent"
     REFUSED = "refused"
@@ -49,7 +49,7 @@
 
 
 class Verdict(StrEnum):
-    """Say what follows a failed attempt."""
+    """State what follows a failed attempt."""
 
     RETRY = "retry"
     RESUME = "resume"
@@ -57,7 +57,7 @@
 
 
 class Obstacle(StrEnum):
-    """Say what stands against another attempt."""
+    """State what prevents another attempt."""
 
     ATTEMPTS_USED = "attempts_used"
     OUT_OF_TIME = "out_of_time"
@@ -69,9 +69,9 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class Attempt:
-    """Describe a failed attempt as far as the verdict depends on it.
+    """Describe a failed attempt, as input to the retry decision.
 
-    `paid` says that the budget was spent for what follows it already.
+    `paid` means that the next attempt is already paid for from the budget.
     """
 
     evidence: Evidence
@@ -83,8 +83,10 @@
     paid: bool = False
 
 
-def find_obstacle(attempt: Attempt, take_repeat: Callable[[], bool]) -> Obstacle | None:
-    """Return what stands against another try; takes a repeat if nothing does."""
+def find_obstacle(
+    attempt: Attempt, reserve_retry: Callable[[], bool]
+) -> Obstacle | None:
+    """Return what prevents another attempt; if nothing, reserve a retry."""
     if attempt.attempts >= attempt.max_attempts:
         return Obstacle.ATTEMPTS_USED
     if attempt.left_s <= 0:
@@ -96,11 +98,11 @@
         return Obstacle.NOT_RESUMABLE
     if attempt.evidence is Evidence.NOT_SENT or attempt.paid:
         return None
-    return None if take_repeat() else Obstacle.BUDGET_SPENT
+    return None if reserve_retry() else Obstacle.BUDGET_SPENT
 
 
 def judge(attempt: Attempt, budget: Budget) -> Verdict:
-    """Decide whether to try again; spends the budget if it says so."""
+    """Decide whether to retry; takes a retry from the budget if so."""
     if find_obstacle(attempt, budget.spend) is not None:
         return Verdict.GIVE_UP
     if attempt.evidence is Evidence.ANSWER_BEGUN:
@@ -109,13 +111,13 @@
 
 
 def run_of(evidence: Evidence) -> Run:
-    """Return what a refusal may honestly say after this evidence."""
+    """Return whether the request ran, as far as the evidence proves it."""
     if evidence in (Evidence.NOT_SENT, Evidence.REFUSED):
         return Run.NO
     return Run.PARTIAL if evidence is Evidence.ANSWER_BEGUN else Run.UNKNOWN
 
 
 def worst_evidence(seen: list[Evidence]) -> Evidence:
-    """Return the evidence that admits most, over all attempts of a request."""
+    """Return the evidence of the attempt that came furthest."""
     order = list(Evidence)
     return max(seen, key=order.index)
--- a/src/rosepath/retry_after.py
+++ b/src/rosepath/retry_after.py
@@ -1,15 +1,15 @@
-"""How long a peer that turns requests away asks to be left alone."""
+"""Parse the Retry-After header of peers that reject requests."""
 
 import math
 
 from tornado.httputil import HTTPHeaders
 
-# A peer that asks for more gives a broken answer.
+# A longer backoff is taken for a faulty response and capped.
 BACKOFF_MAX_S = 600.0
 
 
 def read_retry_after_s(headers: HTTPHeaders) -> float:
-    """Return the Retry-After of an answer in seconds, 0 if there is none."""
+    """Return the Retry-After of a response in seconds, 0 if absent or invalid."""
     try:
         given_s = float(headers.get("Retry-After", ""))
     except ValueError:
--- a/src/rosepath/retry_window.py
+++ b/src/rosepath/retry_window.py
@@ -1,21 +1,21 @@
-"""Each entry VM's part of the one retry budget that all share."""
+"""Sliding-window limit on the retries that each entry VM may send."""
 
 from bisect import bisect_left
 from dataclasses import dataclass, field
 
 from rosepath.clock import Clock
 
-# All VMs' parts of the slack together stay below it, as VMs may not know of
-# each other for a moment and then reckon with too few.
+# Keeps the sum of all VMs' slack below the limit while VMs have not discovered
+# each other yet and divide the slack by too small a number of VMs.
 SLACK_USED = 0.7
-# Repeats made within so small a share of a window are counted as one burst, so
-# that the work of a decision doesn't grow with the traffic.
+# Retries sent within this share of a window are counted as one burst, which
+# bounds the work of each decision independently of the traffic.
 BURST_SHARE = 0.02
 
 
 @dataclass(slots=True, kw_only=True)
 class _Burst:
-    """Count the repeats of a moment."""
+    """Count the retries sent close together."""
 
     first_s: float
     last_s: float
@@ -24,13 +24,14 @@
 
 @dataclass(slots=True, kw_only=True)
 class RetryWindow:
-    """Allow repeats of one service: a ratio of own requests, and some slack.
-
-    Nothing is shared between VMs: each spends by the requests that it took
-    itself, so the sum keeps to the ratio whatever the others do. That takes one
-    rule for all as to which requests a window of repeats goes by: those from half
-    a window before it began to half a window after. By the requests of the last
-    window, callers that move to other VMs would be counted at both.
+    """Limit retries of one service to a ratio of this VM's requests plus slack.
+
+    The VMs share no state: each derives its allowance from the requests that it
+    received itself, so that their sum keeps to the ratio. For this, all VMs
+    assign requests to a window by the same rule: the requests from half a
+    window before its start to half a window after it count. Using the requests
+    of the previous window instead would count callers that move to other VMs
+    at both.
     """
 
     clock: Clock
@@ -38,31 +39,31 @@
     slack: float
     window_s: float
     vms: int = 1
-    # Repeats that were taken and are not sent yet; a server may have to be waited
-    # for, and only their arrival counts.
-    _held: int = 0
+    # Retries reserved but not sent yet, for example while waiting for a server.
+    # They count towards the windows in which they are sent.
+    _reserved: int = 0
     _requests_s: list[float] = field(default_factory=list)
     _bursts: list[_Burst] = field(default_factory=list)
 
     def note_request(self) -> None:
-        """Note a request that a caller sent."""
-        self._forget()
+        """Record a request received from a caller."""
+        self._expire()
         self._requests_s.append(self.clock.monotonic_s())
 
-    def hold(self) -> bool:
-        """Take one repeat to be sent later, or return False."""
-        if self.left < 1:
+    def reserve(self) -> bool:
+        """Reserve one retry to be sent later; return False if none is left."""
+        if self.available < 1:
             return False
-        self._held += 1
+        self._reserved += 1
         return True
 
     def release(self) -> None:
-        """Give back a repeat that was held and won't be sent."""
-        self._held -= 1
+        """Return a reserved retry that will not be sent."""
+        self._reserved -= 1
 
-    def send(self) -> None:
-        """Count a repeat that was held as made now."""
-        self._held -= 1
+    def consume(self) -> None:
+        """Count a reserved retry as sent now."""
+        self._reserved -= 1
         now_s = self.clock.monotonic_s()
         last = self._bursts[-1] if self._bursts else None
         if last is None or now_s - last.first_s > BURST_SHARE * self.window_s:
@@ -72,33 +73,37 @@
             last.count += 1
 
     @property
-    def left(self) -> float:
-        """Return how many repeats may be made now."""
-        self._forget()
+    def available(self) -> float:
+        """Return how many retries may be reserved now."""
+        self._expire()
         now_s = self.clock.monotonic_s()
-        # Every window that holds this moment has to bear what was made since it
-        # began; the first of them began a window ago, or right after a burst.
-        began_s = [now_s - self.window_s, *(burst.last_s for burst in self._bursts)]
-        left = self._allowed_from(now_s)
-        made = 0
+        # Every window that contains the present must allow the retries sent
+        # since its start. The earliest such window starts one window length ago
+        # or right after a burst.
+        window_starts_s = [
+            now_s - self.window_s,
+            *(burst.last_s for burst in self._bursts),
+        ]
+        available = self._allowance_from(now_s)
+        sent = 0
         for burst, after_s in zip(
-            reversed(self._bursts), reversed(began_s[:-1]), strict=True
+            reversed(self._bursts), reversed(window_starts_s[:-1]), strict=True
         ):
-            made += burst.count
+            sent += burst.count
             starts_s = (after_s, burst.first_s, burst.last_s)
-            left = min(left, min(map(self._allowed_from, starts_s)) - made)
-        return left - self._held
+            available = min(available, min(map(self._allowance_from, starts_s)) - sent)
+        return available - self._reserved
 
-    def _allowed_from(self, start_s: float) -> float:
-        """Return how many repeats a window bears by what is known of it so far."""
+    def _allowance_from(self, start_s: float) -> float:
+        """Return the retries allowed in a window by the requests seen so far."""
         half_s = self.window_s / 2
         requests = bisect_left(self._requests_s, start_s + half_s) - bisect_left(
             self._requests_s, start_s - half_s
         )
         return self.ratio * requests + SLACK_USED * self.slack / self.vms
 
-    def _forget(self) -> None:
-        """Drop what no window that holds this moment goes by."""
+    def _expire(self) -> None:
+        """Drop bursts and requests that no window containing the present uses."""
         old_s = self.clock.monotonic_s() - self.window_s
         while self._bursts and self._bursts[0].last_s <= old_s:
             del self._bursts[0]
--- a/src/rosepath/server_notice.py
+++ b/src/rosepath/server_notice.py
@@ -1,10 +1,10 @@
-"""What a backend server says of itself in an answer, whatever it answers."""
+"""Notices about a backend server in the headers of its responses."""
 
 from typing import NamedTuple
 
 
 class ServerNotice(NamedTuple):
-    """Tell that a server leaves, or after how long to send it a request again."""
+    """State whether a server is leaving, and how long to back off from it."""
 
     leaving: bool = False
     retry_after_s: float = 0.0
--- a/src/rosepath/silence.py
+++ b/src/rosepath/silence.py
@@ -1,59 +1,64 @@
-"""Whether a request leaves a server that stands still; pure.
+"""Decide whether a request leaves a server that sends nothing; no I/O.
 
-A full server sets requests aside for seconds and goes on with them later; a dead
-one never does. What is broken off while another server neither may nor can take
-it is lost to its caller, so both are found out before.
+A full server may preempt a request for seconds and resume it later; a dead
+server never does. A request that leaves while no retry or no capacity elsewhere
+is available is lost to its caller, so both are checked first.
 """
 
 from collections.abc import Callable
 from dataclasses import dataclass
 from enum import StrEnum
 
-# Of the time for which callers bear no event, a stream may be set aside for so much
-# by a server that moves others: as long again is left for another to read its prompt.
-SET_ASIDE_SHARE = 0.5
+# Share of the caller's event timeout for which a server that serves others may
+# preempt a stream. The rest is left for another server to prefill the prompt.
+PREEMPTED_SHARE = 0.5
 
 
-class Stay(StrEnum):
+class StayReason(StrEnum):
     """Say why a request stays with a silent server."""
 
-    SERVER_MOVES = "server_moves"
+    SERVER_ACTIVE = "server_moves"
     NO_ROOM_ELSEWHERE = "no_room_elsewhere"
     BUDGET_SPENT = "budget_spent"
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class Silence:
-    """Describe a silence as far as it decides whether a request stays.
+    """Describe a server's silence towards a request, as input to the decision.
 
-    `look_s` is how long a silence is before it is looked at, `lasts_s` how long it
-    is by now, `patience_s` how long the caller bears it. `moved_ago_s` is how long
-    ago the server last did something for any request of this VM, None if never.
+    `check_after_s` is the silence after which the decision is first made,
+    `duration_s` the silence so far, `caller_timeout_s` the silence after which
+    the caller leaves. `server_idle_s` is the time since the server last sent
+    anything for any request of this VM, None if it never did.
     """
 
     begun: bool
-    look_s: float
-    lasts_s: float
-    patience_s: float
-    moved_ago_s: float | None
-    room_elsewhere: bool
+    check_after_s: float
+    duration_s: float
+    caller_timeout_s: float
+    server_idle_s: float | None
+    capacity_elsewhere: bool
 
     @property
-    def set_aside(self) -> bool:
-        """Tell whether the server is alive and goes on with others meanwhile.
+    def preempted(self) -> bool:
+        """Tell whether the server has paused this request and serves others.
 
-        Were it the connection that died, the kernel's probes would say so.
+        A dead connection is ruled out: the kernel's keepalive probes detect it.
         """
-        if not self.begun or self.moved_ago_s is None:
+        if not self.begun or self.server_idle_s is None:
             return False
-        moves = self.moved_ago_s < self.look_s
-        return moves and self.lasts_s < SET_ASIDE_SHARE * self.patience_s
+        server_active = self.server_idle_s < self.check_after_s
+        return (
+            server_active and self.duration_s < PREEMPTED_SHARE * self.caller_timeout_s
+        )
 
 
-def reason_to_stay(silence: Silence, take_repeat: Callable[[], bool]) -> Stay | None:
-    """Return why a request stays, or None if it leaves; takes a repeat then."""
-    if silence.set_aside:
-        return Stay.SERVER_MOVES
-    if not silence.room_elsewhere:
-        return Stay.NO_ROOM_ELSEWHERE
-    return None if take_repeat() else Stay.BUDGET_SPENT
+def reason_to_stay(
+    silence: Silence, reserve_retry: Callable[[], bool]
+) -> StayReason | None:
+    """Return why a request stays, or None if it leaves; then reserves a retry."""
+    if silence.preempted:
+        return StayReason.SERVER_ACTIVE
+    if not silence.capacity_elsewhere:
+        return StayReason.NO_ROOM_ELSEWHERE
+    return None if reserve_retry() else StayReason.BUDGET_SPENT
--- a/tests/test_relay.py
+++ b/tests/test_relay.py
@@ -23,10 +23,10 @@
 from rosepath.clock import SystemClock
 from rosepath.configuration_view import ConfigurationView
 from rosepath.entry_metrics import EntryMetrics
-from rosepath.next_try import MAX_TRIES
 from rosepath.peer_messages import NEVER_S
 from rosepath.relay import MAX_LOGGED_CHARS
 from rosepath.request_records import RequestRecords
+from rosepath.retry_policy import MAX_SENT_ATTEMPTS
 
 
 def generate(shared: str = "aa") -> str:
@@ -321,7 +321,7 @@
         async with entry(server) as node:
             data = await node.ask(generate())
         assert data.startswith(b"HTTP/1.1 503")
-        assert len(server.asked) <= MAX_TRIES
+        assert len(server.asked) <= MAX_SENT_ATTEMPTS
 
     asyncio.run(run())
 
--- a/tests/test_next_try.py
+++ b/tests/test_retry_policy.py
@@ -60,8 +60,8 @@
     async def play() -> None:
         dying, spare = Engine("e1", breaks), Engine("e2", goes_on)
         site = a_site(dying, repeats=1, window_s=4.0)
-        assert site.window.hold()
-        site.window.send()
+        assert site.window.reserve()
+        site.window.consume()
         caller = asks()
         serving = asyncio.ensure_future(site.serve(caller))
         await asyncio.sleep(0.1)
--- a/tests/test_retry_window.py
+++ b/tests/test_retry_window.py
@@ -11,10 +11,10 @@
 
 def spend(window: RetryWindow) -> bool:
     """Make a repeat at once, if one is left."""
-    held = window.hold()
-    if held:
-        window.send()
-    return held
+    reserved = window.reserve()
+    if reserved:
+        window.consume()
+    return reserved
 
 
 def a_window(clock: ManualClock, *, vms: int = 4) -> RetryWindow:
@@ -47,20 +47,20 @@
 STEP_S = 0.25
 
 
-class Part(NamedTuple):
+class TrafficPhase(NamedTuple):
     """Hold a part of a day: its requests, and whether they are turned away.
 
     They come to `vms` of the entry VMs, from the number `first` on.
     """
 
-    lasts_s: float
+    duration_s: float
     rate_per_s: float
-    turned_away: bool
+    rejected: bool
     first: int = 0
     vms: int = 9
 
 
-def overspent(parts: list[Part], *, vms: int) -> float:
+def max_overspend(phases: list[TrafficPhase], *, vms: int) -> float:
     """Return by how much repeats exceed the budget in the worst window.
 
     Where requests are turned away, every VM repeats all that it may. A window's
@@ -74,17 +74,17 @@
     ]
     requests: list[float] = []
     repeats: list[float] = []
-    owed = 0.0
-    for part in parts:
-        for _ in range(int(part.lasts_s / STEP_S)):
+    fractional_requests = 0.0
+    for phase in phases:
+        for _ in range(int(phase.duration_s / STEP_S)):
             clock.advance(STEP_S)
-            owed += part.rate_per_s * STEP_S
-            while owed >= 1.0:
-                owed -= 1.0
-                place = part.first + len(requests) % min(vms, part.vms)
+            fractional_requests += phase.rate_per_s * STEP_S
+            while fractional_requests >= 1.0:
+                fractional_requests -= 1.0
+                place = phase.first + len(requests) % min(vms, phase.vms)
                 windows[place % vms].note_request()
                 requests.append(clock.monotonic_s())
-            for window in windows if part.turned_away else ():
+            for window in windows if phase.rejected else ():
                 while spend(window):
                     repeats.append(clock.monotonic_s())
 
@@ -106,34 +106,34 @@
     # requests away. Repeats that go by the requests of the ten seconds before go by
     # the burst alone; a window that begins with them reaches beyond it, and so does
     # each by which its budget may be counted: the service gets too many.
-    parts = [
-        Part(12.0, 97.0, False),
-        Part(9.0, 214.0, False),
-        Part(1.0, 214.0, True),
-        Part(20.0, 97.0, True),
+    phases = [
+        TrafficPhase(12.0, 97.0, False),
+        TrafficPhase(9.0, 214.0, False),
+        TrafficPhase(1.0, 214.0, True),
+        TrafficPhase(20.0, 97.0, True),
     ]
     for vms in (1, 9):
-        assert overspent(parts, vms=vms) <= 0
+        assert max_overspend(phases, vms=vms) <= 0
 
 
 def test_repeats_keep_to_the_budget_as_callers_move_to_other_vms() -> None:
     # Callers of some VMs come to others, and all are turned away. Where each VM
     # counts the requests of its own last ten seconds, a window over both sees the
     # repeats of twice the requests that came.
-    parts = [
-        Part(12.0, 200.0, False, first=0, vms=4),
-        Part(2.0, 200.0, True, first=0, vms=4),
-        Part(8.0, 200.0, False, first=4, vms=4),
-        Part(2.0, 200.0, True, first=4, vms=4),
+    phases = [
+        TrafficPhase(12.0, 200.0, False, first=0, vms=4),
+        TrafficPhase(2.0, 200.0, True, first=0, vms=4),
+        TrafficPhase(8.0, 200.0, False, first=4, vms=4),
+        TrafficPhase(2.0, 200.0, True, first=4, vms=4),
     ]
-    assert overspent(parts, vms=9) <= 0
+    assert max_overspend(phases, vms=9) <= 0
 
 
 @settings(deadline=None)
 @given(
     st.lists(
         st.builds(
-            Part,
+            TrafficPhase,
             st.floats(0.5, 12.0),
             st.floats(0.0, 300.0),
             st.booleans(),
@@ -144,8 +144,10 @@
     ),
     st.sampled_from((1, 9)),
 )
-def test_repeats_keep_to_the_budget_whatever_comes(parts: list[Part], vms: int) -> None:
-    assert overspent(parts, vms=vms) <= 0
+def test_repeats_keep_to_the_budget_whatever_comes(
+    phases: list[TrafficPhase], vms: int
+) -> None:
+    assert max_overspend(phases, vms=vms) <= 0
 
 
 def test_the_budget_is_used_in_full_while_traffic_is_steady() -> None:
--- a/tests/test_server_notices.py
+++ b/tests/test_server_notices.py
@@ -45,18 +45,18 @@
 # By hand, SEEDS=50 plays so many random courses.
 SEEDS = range(int(os.environ.get("SEEDS", "3")))
 # A server is left alone from so long after it shed a request.
-HEEDED_S = 0.5
+BACKOFF_GRACE_S = 0.5
 RETRY_AFTER_S = 3.0
 # What may still reach it until its backoff is over.
 SENDS_IN_BACKOFF = 2
 
-Course = Callable[[OutspokenWorld], Awaitable[None]]
+Scenario = Callable[[OutspokenWorld], Awaitable[None]]
 
 
 def late_sends(
     monkeypatch: pytest.MonkeyPatch,
     size: tuple[int, float, float],
-    course: Course,
+    scenario: Scenario,
     *,
     servers: int = 4,
     seed: int = 7,
@@ -67,13 +67,13 @@
         drain_s=drain_s, contact_s=contact_s, rng=random.Random(seed)
     )
 
-    async def course_of_all() -> None:
+    async def run_scenario() -> None:
         await world.start(vms, monkeypatch, servers=servers)
         await asyncio.sleep(5.0)
-        await course(world)
+        await scenario(world)
         await world.close()
 
-    play(course_of_all)
+    play(run_scenario)
     assert world.told_s
     return sorted(world.late_after_s, reverse=True)[:5]
 
@@ -83,11 +83,11 @@
 def test_a_server_that_says_it_leaves_gets_nothing_though_the_store_is_silent(
     monkeypatch: pytest.MonkeyPatch, size: tuple[int, float, float]
 ) -> None:
-    async def course(world: OutspokenWorld) -> None:
+    async def scenario(world: OutspokenWorld) -> None:
         world.say_leaving("i-1")
         await asyncio.sleep(12.0)
 
-    assert late_sends(monkeypatch, size, course) == []
+    assert late_sends(monkeypatch, size, scenario) == []
 
 
 # Guards against an entry that lapsed in an outage, and is back as it was before
@@ -96,7 +96,7 @@
 def test_an_entry_that_comes_back_does_not_undo_that_its_server_leaves(
     monkeypatch: pytest.MonkeyPatch, size: tuple[int, float, float]
 ) -> None:
-    async def course(world: OutspokenWorld) -> None:
+    async def scenario(world: OutspokenWorld) -> None:
         world.say_leaving("i-1")
         await asyncio.sleep(1.0)
         world.leave("i-1")
@@ -105,7 +105,7 @@
         world.enter("i-1")
         await asyncio.sleep(8.0)
 
-    assert late_sends(monkeypatch, size, course) == []
+    assert late_sends(monkeypatch, size, scenario) == []
 
 
 # Guards against sums of troubles: a store that is away, turns VMs away or loses its
@@ -115,7 +115,7 @@
     rng = random.Random(seed)
     size = rng.choice([(3, 2.0, 3.0), (9, 2.0, 3.0), (26, 3.0, 4.0)])
 
-    async def course(world: OutspokenWorld) -> None:
+    async def scenario(world: OutspokenWorld) -> None:
         world.lost_share = rng.choice([0.0, 0.1, 0.3])
         names = [f"i-{number}" for number in range(8)]
         for name in rng.sample(names, 4):
@@ -133,7 +133,7 @@
             world.take_back()
         await asyncio.sleep(5.0)
 
-    assert late_sends(monkeypatch, size, course, servers=8, seed=seed) == []
+    assert late_sends(monkeypatch, size, scenario, servers=8, seed=seed) == []
 
 
 def sheds(asked: Asked, *, retry_after_s: float = RETRY_AFTER_S) -> Timetable:
@@ -156,12 +156,15 @@
 
 def sends_in_backoff(engine: Engine) -> int:
     """Count the requests that reached a server in its backoff."""
-    backoff_until_s = heeded_s = -1e9
+    backoff_until_s = enforced_from_s = -1e9
     late = 0
     for at_s in engine.asked_at_s:
-        late += heeded_s < at_s < backoff_until_s
+        late += enforced_from_s < at_s < backoff_until_s
         if at_s >= backoff_until_s:
-            heeded_s, backoff_until_s = at_s + HEEDED_S, at_s + RETRY_AFTER_S
+            enforced_from_s, backoff_until_s = (
+                at_s + BACKOFF_GRACE_S,
+                at_s + RETRY_AFTER_S,
+            )
     return late
 
 
@@ -224,7 +227,7 @@
         callers = [asks(f"q{number}") for number in range(6)]
         await serve_many(site, callers, each_s=0.01)
         after = [at_s - engine.asked_at_s[0] for at_s in engine.asked_at_s[1:]]
-        in_backoff = [at_s for at_s in after if HEEDED_S < at_s < RETRY_AFTER_S]
+        in_backoff = [at_s for at_s in after if BACKOFF_GRACE_S < at_s < RETRY_AFTER_S]
         together = [
             at_s for at_s in after if RETRY_AFTER_S <= at_s < RETRY_AFTER_S + 0.15
         ]
@@ -324,11 +327,11 @@
 
 
 @dataclass(slots=True)
-class Shedding:
+class SheddingServer:
     """Shed load at random, and count what comes all the same."""
 
     rng: random.Random
-    heeded_s: float = -1e9
+    enforced_from_s: float = -1e9
     backoff_until_s: float = -1e9
     in_backoff: int = 0
     worst: int = 0
@@ -336,14 +339,17 @@
     def do(self, asked: Asked) -> Timetable:
         now_s = asyncio.get_running_loop().time()
         if now_s < self.backoff_until_s:
-            self.in_backoff += now_s > self.heeded_s
+            self.in_backoff += now_s > self.enforced_from_s
             self.worst = max(self.worst, self.in_backoff)
             return sheds(asked, retry_after_s=self.backoff_until_s - now_s)
         if self.rng.random() < 0.7:
             return streams(asked, 0.05, until=8)
         retry_after_s = self.rng.uniform(0.2, 4.0)
         self.in_backoff = 0
-        self.heeded_s, self.backoff_until_s = now_s + HEEDED_S, now_s + retry_after_s
+        self.enforced_from_s, self.backoff_until_s = (
+            now_s + BACKOFF_GRACE_S,
+            now_s + retry_after_s,
+        )
         return sheds(asked, retry_after_s=retry_after_s)
 
 
@@ -353,7 +359,7 @@
 def test_random_backoffs_are_heeded(seed: int) -> None:
     async def play_site() -> None:
         rng = random.Random(seed)
-        shedding = [Shedding(rng) for _ in range(rng.choice([1, 2, 5]))]
+        shedding = [SheddingServer(rng) for _ in range(rng.choice([1, 2, 5]))]
         engines = [Engine(f"e{n}", one.do) for n, one in enumerate(shedding)]
         site = a_site(*engines, repeats=100.0)
         callers = [asks(f"q{number}", wait_ms=5000) for number in range(100)]
--- a/tests/test_stream_pauses.py
+++ b/tests/test_stream_pauses.py
@@ -8,15 +8,15 @@
 from entry_harness import NoModels
 
 from rosepath.clock import ManualClock
-from rosepath.event_order import EventOrder
+from rosepath.event_sequence import EventSequence
 from rosepath.fleet import Fleet
-from rosepath.next_try import NextTry
 from rosepath.prompt_caches import PromptCaches
 from rosepath.request_context import RelayPorts, RequestContext
 from rosepath.retries import Evidence
+from rosepath.retry_policy import RetryPolicy
 
 
-def a_next_try(clock: ManualClock) -> NextTry:
+def a_retry_policy(clock: ManualClock) -> RetryPolicy:
     ports = RelayPorts(
         data_centre="a",
         clock=clock,
@@ -32,7 +32,7 @@
         on_outcome=lambda *_: None,
         crashes=a_crash_watch(clock),
     )
-    return NextTry(ports, a_picker(ports))
+    return RetryPolicy(ports, a_picker(ports))
 
 
 LEFT_S = 5.0
@@ -48,7 +48,7 @@
         service=catalog.services["llm"],
         exchange=cast(Any, None),
         deadline_s=clock.monotonic_s() + LEFT_S,
-        order=EventOrder(last_id=None),
+        event_sequence=EventSequence(last_id=None),
         seen=list(seen),
     )
 
@@ -56,7 +56,7 @@
 def test_a_stream_that_can_go_on_elsewhere_leaves_an_engine_that_stands_still() -> None:
     clock = ManualClock()
     context = a_context(clock=clock, max_attempts=2, resumable=True)
-    assert a_next_try(clock).pause_s(context) < 1.0
+    assert a_retry_policy(clock).stall_timeout_s(context) < 1.0
 
 
 def test_a_stream_on_its_last_try_is_not_broken_off_for_silence() -> None:
@@ -70,4 +70,4 @@
     once = a_context(clock=clock, max_attempts=1, resumable=True)
     never = a_context(clock=clock, max_attempts=2, resumable=False)
     for context in (again, once, never):
-        assert a_next_try(clock).pause_s(context) > LEFT_S
+        assert a_retry_policy(clock).stall_timeout_s(context) > LEFT_S
