--- a/src/rosepath/attempt.py
+++ b/src/rosepath/attempt.py
@@ -67,7 +67,7 @@
 
     @property
     def delimited(self) -> bool:
-        """Tell whether the headers delimit the body (not the connection's close)."""
+        """Return whether the headers delimit the body (not the connection's close)."""
         return says_its_end(self.head.headers)
 
     @property
--- a/src/rosepath/event_sequence.py
+++ b/src/rosepath/event_sequence.py
@@ -24,7 +24,7 @@
 
     @property
     def has_partial_event(self) -> bool:
-        """Tell whether the data received so far ends within an event."""
+        """Return whether the data received so far ends within an event."""
         return bool(self._pending.strip())
 
     def feed(self, data: bytes) -> bytes:
--- a/src/rosepath/relay.py
+++ b/src/rosepath/relay.py
@@ -180,7 +180,7 @@
     async def _retry_error_response(
         self, context: RequestContext, server: BackendServer, answer: Answer
     ) -> bool:
-        """Tell whether to retry a request that got an error response.
+        """Return whether to retry a request that got an error response.
 
         Raises RefusalError if the request can neither be retried nor the response
         be passed on.
--- a/src/rosepath/request_context.py
+++ b/src/rosepath/request_context.py
@@ -137,7 +137,7 @@
 
     @property
     def lost_if_refused(self) -> bool:
-        """Tell whether a refusal would lose the request for its caller.
+        """Return whether a refusal would lose the request for its caller.
 
         Callers retry requests that were refused without having run, and
         idempotent requests of plain services. They do not retry a stream that
--- a/src/rosepath/retry_policy.py
+++ b/src/rosepath/retry_policy.py
@@ -60,7 +60,7 @@
 
     @staticmethod
     def _is_last_attempt(context: RequestContext) -> bool:
-        """Tell whether no other attempt could follow this one.
+        """Return whether no other attempt could follow this one.
 
         Such an attempt is not ended for silence: nothing would be gained, and a
         stream would be lost to its caller.
@@ -82,7 +82,7 @@
         return max(MIN_STALL_TIMEOUT_S, GAP_FACTOR * context.route.target_gap_s)
 
     def should_leave(self, context: RequestContext, server: BackendServer) -> bool:
-        """Tell whether a request leaves a silent server; reserves a retry if so."""
+        """Return whether a request leaves a silent server; reserves a retry if so."""
         now_s, route = self._now_s(), context.route
         stay_reason = reason_to_stay(
             Silence(
--- a/src/rosepath/silence.py
+++ b/src/rosepath/silence.py
@@ -15,7 +15,7 @@
 
 
 class StayReason(StrEnum):
-    """Say why a request stays with a silent server."""
+    """State why a request stays with a silent server."""
 
     SERVER_ACTIVE = "server_moves"
     NO_ROOM_ELSEWHERE = "no_room_elsewhere"
@@ -41,7 +41,7 @@
 
     @property
     def preempted(self) -> bool:
-        """Tell whether the server has paused this request and serves others.
+        """Return whether the server has paused this request and serves others.
 
         A dead connection is ruled out: the kernel's keepalive probes detect it.
         """
--- a/tests/test_event_sequence.py
+++ b/tests/test_event_sequence.py
@@ -1,4 +1,4 @@
-"""A caller gets each event of a stream once, in order, over all attempts."""
+"""Callers receive each event of a stream once and in order across attempts."""
 
 from itertools import pairwise
 
@@ -15,18 +15,18 @@
 
 
 @given(st.lists(st.integers(1, 60), max_size=12))
-def test_events_pass_whole_however_they_are_cut(cuts: list[int]) -> None:
+def test_events_are_complete_however_the_data_is_split(cuts: list[int]) -> None:
     data, sequence, passed = events(1, 5), EventSequence(), b""
-    bounds = sorted({0, len(data), *(cut for cut in cuts if cut < len(data))})
-    for start, end in pairwise(bounds):
+    marks = sorted({0, len(data), *(cut for cut in cuts if cut < len(data))})
+    for start, end in pairwise(marks):
         passed += sequence.feed(data[start:end])
     assert passed == data
     assert not sequence.has_partial_event
 
 
-def test_an_attempt_that_broke_within_an_event_goes_on_without_a_trace() -> None:
-    # The engine dies in the middle of event 3; the next attempt begins at 2.
-    # The caller must get neither half an event nor event 2 twice.
+def test_a_resumed_attempt_repeats_no_event_and_drops_the_partial_one() -> None:
+    # The engine dies within event 3 and the next attempt starts at event 2. The
+    # caller must receive neither a partial event nor event 2 twice.
     sequence = EventSequence()
     passed = sequence.feed(events(1, 2) + b"id: 3\nda")
     assert sequence.has_partial_event
--- a/tests/test_relay.py
+++ b/tests/test_relay.py
@@ -1,4 +1,4 @@
-"""What callers see of a request, whatever the backend servers do to it."""
+"""Responses that callers receive when backend servers fail or misbehave."""
 
 import asyncio
 from dataclasses import replace
@@ -73,18 +73,18 @@
     writer.close()
 
 
-async def ask_until_asked(node: Entry, server: Scripted) -> bytes:
-    """Ask with other prompts until one has its home at a server."""
+async def ask_until_routed_to(node: Entry, server: Scripted) -> bytes:
+    """Send different prompts until one is routed to the server."""
     for number in range(40):
         data = await node.ask(generate(f"{number:x}"))
         if server.asked:
             return data
-    raise AssertionError(f"{server.name} is nobody's home")
+    raise AssertionError(f"{server.name} was sent no prompt")
 
 
-def test_a_non_idempotent_request_whose_answer_is_lost_is_not_sent_again() -> None:
-    # The server runs the filing and its answer breaks off. Sent again, the
-    # claim would be lodged twice; a 503 would say that it had not run.
+def test_a_non_idempotent_request_is_not_retried_after_a_lost_response() -> None:
+    # The server runs the request, then its response breaks off. A retry would
+    # lodge the claim twice, and a 503 would state that it had not run.
     async def run() -> None:
         servers = Scripted("s1", breaks_off), Scripted("s2", breaks_off)
         route = a_plain_route(RouteKind.NON_IDEMPOTENT)
@@ -96,7 +96,7 @@
     asyncio.run(run())
 
 
-def test_a_request_that_was_refused_unrun_goes_elsewhere() -> None:
+def test_a_request_refused_without_running_goes_to_another_server() -> None:
     async def run() -> None:
         servers = Scripted("s1", refuses), Scripted("s2", answers)
         route = a_plain_route(RouteKind.NON_IDEMPOTENT, max_attempts=1)
@@ -107,7 +107,7 @@
     asyncio.run(run())
 
 
-def test_what_nobody_ran_is_refused_at_once_with_a_time_to_come_back() -> None:
+def test_a_request_that_no_server_ran_gets_a_503_with_retry_after() -> None:
     async def run() -> None:
         servers = Scripted("s1", refuses), Scripted("s2", refuses)
         route = a_plain_route(RouteKind.NON_IDEMPOTENT)
@@ -119,7 +119,7 @@
     asyncio.run(run())
 
 
-def test_the_log_says_what_stood_against_another_try() -> None:
+def test_the_log_names_what_prevented_another_attempt() -> None:
     async def run() -> None:
         route = a_plain_route(RouteKind.NON_IDEMPOTENT)
         async with entry(Scripted("s1", refuses), route=route, slack=0.0) as node:
@@ -132,7 +132,7 @@
     assert refused["repeats_left"] < 1
 
 
-def test_an_idempotent_request_goes_elsewhere_after_an_error() -> None:
+def test_an_idempotent_request_is_retried_elsewhere_after_an_error() -> None:
     async def run() -> None:
         servers = Scripted("s1", fails), Scripted("s2", answers)
         route = a_plain_route(RouteKind.IDEMPOTENT)
@@ -143,7 +143,7 @@
     asyncio.run(run())
 
 
-def test_the_last_error_is_passed_on_as_the_server_gave_it() -> None:
+def test_the_last_error_response_is_passed_on_unchanged() -> None:
     async def run() -> None:
         servers = Scripted("s1", fails), Scripted("s2", fails)
         async with entry(*servers, route=a_plain_route(RouteKind.IDEMPOTENT)) as node:
@@ -154,9 +154,9 @@
     asyncio.run(run())
 
 
-def test_a_late_answer_to_another_request_is_not_passed_on() -> None:
-    # The server sends an answer nobody asked for just where the next one is
-    # due on a kept connection; only its id tells.
+def test_a_late_response_to_another_request_is_not_passed_on() -> None:
+    # On a reused connection the server sends a stray response before the
+    # expected one. Only the request id tells them apart.
     async def run() -> None:
         async def stray_first(asked: Asked, writer: asyncio.StreamWriter) -> None:
             stray = Asked(asked.line, {"request-id": "other"}, b"")
@@ -169,12 +169,12 @@
     asyncio.run(run())
 
 
-def test_a_resumable_stream_goes_on_at_the_last_event() -> None:
+def test_a_resumable_stream_resumes_after_the_last_event() -> None:
     async def run() -> None:
         first = Scripted("s1", dies_after_two_events)
         second = Scripted("s2", streams)
         async with entry(first, second) as node:
-            data = await ask_until_asked(node, first)
+            data = await ask_until_routed_to(node, first)
         events = b"".join(event(number) for number in range(1, 5))
         body = data.partition(b"\r\n\r\n")[2]
         assert b"".join(body.split(b"\r\n")[1::2]) == events
@@ -184,11 +184,11 @@
     asyncio.run(run())
 
 
-def test_a_stream_that_cannot_go_on_does_not_look_whole() -> None:
+def test_an_interrupted_stream_that_cannot_resume_does_not_look_complete() -> None:
     async def run() -> None:
         servers = Scripted("s1", dies_after_two_events), Scripted("s2", streams)
         async with entry(*servers, route=a_route(resumable=False)) as node:
-            data = await ask_until_asked(node, servers[0])
+            data = await ask_until_routed_to(node, servers[0])
         assert event(2) in data
         assert not data.endswith(b"0\r\n\r\n")
         assert len(servers[0].asked) == 1
@@ -196,9 +196,9 @@
     asyncio.run(run())
 
 
-def test_a_stream_that_goes_on_at_a_failing_server_does_not_look_whole() -> None:
-    # A server dies in the middle of a stream, and the one at which it goes on
-    # answers 500. That ended the stream as if all of its events had come.
+def test_a_stream_resumed_at_a_failing_server_does_not_look_complete() -> None:
+    # A server dies in the middle of a stream and the next one responds with 500.
+    # This used to end the stream as if it were complete.
     async def run() -> None:
         first, second = Scripted("s1", dies_after_two_events), Scripted("s2", fails)
         async with entry(first, second) as node:
@@ -213,9 +213,9 @@
     asyncio.run(run())
 
 
-def test_the_callers_close_stops_the_server() -> None:
-    # A caller that left is not heard while its answer is awaited unless the
-    # connection itself is listened to: engines would work on for nobody.
+def test_closing_the_callers_connection_stops_the_server() -> None:
+    # Unless the caller's connection is watched while its response is awaited,
+    # its close goes unnoticed and the engine keeps generating.
     async def run() -> None:
         async def never(asked: Asked, _: asyncio.StreamWriter) -> None:
             begun.set()
@@ -241,7 +241,7 @@
         (f"{LOOK_UP}\r\nModel: m0\r\nToken-Usage: many", 400),
     ],
 )
-def test_bad_input_gets_a_typed_error(head: str, status: int) -> None:
+def test_an_invalid_request_gets_a_client_error(head: str, status: int) -> None:
     async def run() -> None:
         server = Scripted("s1", answers)
         async with entry(server, route=a_plain_route(RouteKind.IDEMPOTENT)) as node:
@@ -253,7 +253,7 @@
     asyncio.run(run())
 
 
-def test_what_only_the_system_may_ask_for_is_not_passed_on() -> None:
+def test_internal_headers_sent_by_a_caller_are_not_forwarded() -> None:
     async def run() -> None:
         server = Scripted("s1", answers)
         async with entry(server, route=a_plain_route(RouteKind.IDEMPOTENT)) as node:
@@ -267,9 +267,10 @@
     asyncio.run(run())
 
 
-def test_an_answer_begun_before_a_stop_is_the_last_of_its_connection() -> None:
-    # Its head went out before the stop and names no close. Kept, the caller
-    # sent another request six seconds later, and the process ended under it.
+def test_a_response_begun_before_a_stop_closes_its_connection_at_the_end() -> None:
+    # The response's headers were sent before the stop, without Connection: close.
+    # If the connection stays open, a caller may send another request on it, which
+    # is lost when the process exits.
     async def run() -> None:
         async def half(asked: Asked, writer: asyncio.StreamWriter) -> None:
             writer.write(stream_head(asked) + chunk(event(1)))
@@ -289,7 +290,7 @@
     asyncio.run(run())
 
 
-def test_a_stop_closes_connections_on_which_nothing_was_asked() -> None:
+def test_a_stop_closes_idle_connections() -> None:
     async def run() -> None:
         server = Scripted("s1", answers)
         route = a_plain_route(RouteKind.IDEMPOTENT)
@@ -303,7 +304,7 @@
     asyncio.run(run())
 
 
-def test_the_harness_reads_requests_whole() -> None:
+def test_the_harness_reads_complete_requests() -> None:
     async def run() -> None:
         reader = asyncio.StreamReader()
         reader.feed_data(request(FILE, b"abc"))
@@ -313,9 +314,9 @@
     asyncio.run(run())
 
 
-def test_a_request_that_all_refuse_does_not_use_up_what_others_may_repeat() -> None:
-    # While an engine's order is in progress it refuses the requests that the
-    # order concerns: one request was sent 22 times within two seconds.
+def test_a_request_that_all_servers_refuse_does_not_use_up_the_retry_budget() -> None:
+    # While an engine carries out an order, it refuses the requests that the order
+    # affects. Without a limit, one request was sent 22 times in two seconds.
     async def run() -> None:
         server = Scripted("s1", refuses)
         async with entry(server) as node:
@@ -326,10 +327,10 @@
     asyncio.run(run())
 
 
-def test_a_request_waits_for_an_engine_that_is_down_to_come_back() -> None:
-    # The only engine with the model has crashed; its entry stays for seconds.
-    # Six refused connections within milliseconds were taken for the end of all
-    # hope, while another engine had the model a moment later.
+def test_a_request_waits_for_a_crashed_engine_to_come_back() -> None:
+    # The only engine with the model has crashed, and its entry stays listed for
+    # seconds. Six connections refused within milliseconds must not end the
+    # request, since an engine may have the model a moment later.
     async def run() -> None:
         server = Scripted("s1", streams)
         async with entry(server) as node, asyncio.timeout(20):
@@ -345,11 +346,11 @@
     asyncio.run(run())
 
 
-def test_a_planned_stop_refuses_what_still_waits() -> None:
-    # The model is on no engine, and the VM has been asked to stop. Waiting on,
-    # the request was cut without a word when the grace was over; refused
-    # unrun, it is served by another VM.
-    # Its caller is patient, so that nothing but the stop can end the wait.
+def test_a_planned_stop_refuses_requests_that_wait_for_a_server() -> None:
+    # No engine has the model and the entry VM is stopping. A request that kept
+    # waiting would be cut at the end of the grace period; refused without having
+    # run, it can be served by another VM. The long timeouts ensure that only the
+    # stop can end the wait.
     async def run() -> None:
         patient = replace(a_route(timeout_s=600.0), target_latency_s=100.0)
         async with entry(route=patient) as node, asyncio.timeout(10):
@@ -365,12 +366,11 @@
     asyncio.run(run())
 
 
-def test_a_planned_stop_lets_a_begun_stream_go_on_elsewhere() -> None:
-    # Seen once: a stream was cut 3.6 s into a planned stop, its caller there. It
-    # had broken off at its server and was to go on; no server could be had in
-    # that instant, and what waits is refused once the stop's notice is over.
-    # That is meant for requests that were never sent. Not proved to be what was
-    # seen: it did not come again.
+def test_a_planned_stop_lets_a_begun_stream_resume_elsewhere() -> None:
+    # A stream breaks off at its server during a planned stop and no server is
+    # available at that moment. The refusal of waiting requests after the stop's
+    # notice is meant for requests that were never sent, and must not cut it. This
+    # is the unproved explanation of a stream cut once, 3.6 s into a planned stop.
     async def run() -> None:
         asked_before: list[Asked] = []
 
@@ -410,10 +410,11 @@
         ("GET /drafts/1 HTTP/1.1", BEHIND, 400, "bad_request"),
     ],
 )
-def test_a_refusal_without_a_route_tells_by_which_configuration(
+def test_the_log_of_an_unrouted_request_names_the_configuration(
     head: str, view: ConfigurationView, status: int, code: str
 ) -> None:
-    # A route that a newer version declares was answered 404, and no line said so.
+    # A request whose route only a newer configuration declares got a 404, and the
+    # log did not show which configuration was in force.
     async def run() -> None:
         servers = Scripted("s1", answers)
         async with entry(servers, configuration=lambda: view) as node:
@@ -431,8 +432,8 @@
     assert line["configuration_behind"] is view.behind
 
 
-def test_a_line_holds_no_more_of_a_path_than_it_must() -> None:
-    # Paths of 60 kB, which any caller may send, would fill what is kept of lines.
+def test_the_logged_path_is_truncated() -> None:
+    # Any caller may send paths of 60 kB, which would fill the retained log.
     async def run() -> None:
         async with entry(Scripted("s1", answers)) as node:
             await node.ask(f"GET /{'x' * 9000} HTTP/1.1\r\nRequest-Id: q1")
@@ -443,8 +444,8 @@
     assert len(line["path"]) == MAX_LOGGED_CHARS
 
 
-def test_a_refusal_tells_the_configuration_by_which_it_was_routed() -> None:
-    # By the time of its line, the VM may go by a newer version.
+def test_the_log_of_a_refusal_names_the_configuration_that_routed_it() -> None:
+    # By the time the line is logged, a newer version may be in force.
     views = iter((BEHIND, ConfigurationView(version=5, age_s=0.0)))
 
     async def run() -> None:
@@ -463,8 +464,9 @@
     assert line.items() >= BEHIND_FIELDS.items()
 
 
-def test_an_answer_tells_the_configuration_by_which_it_was_routed() -> None:
-    # Whether a wrong answer came of an old configuration could not be told.
+def test_the_log_of_a_response_names_the_configuration_that_routed_it() -> None:
+    # Otherwise it can't be determined whether an outdated configuration caused a
+    # wrong response.
     records = RequestRecords(EntryMetrics(), clock=SystemClock())
 
     async def run() -> None:
@@ -482,7 +484,7 @@
     assert line.items() >= BEHIND_FIELDS.items()
 
 
-def test_an_age_that_was_never_known_is_told_as_a_number() -> None:
-    # JSON has no infinity, and 1e9 s is no age: readers of lines would stumble.
+def test_an_unknown_configuration_age_is_logged_as_a_finite_number() -> None:
+    # JSON has no infinity, which parsers of the log would reject.
     fields = ConfigurationView(age_s=float("inf")).log_fields
     assert fields["configuration_age_s"] == NEVER_S
--- a/tests/test_retries.py
+++ b/tests/test_retries.py
@@ -1,4 +1,4 @@
-"""Retries need proof or idempotence, and a budget."""
+"""Retries require proof of not having run or idempotence, and a budget."""
 
 from hypothesis import given, strategies as st
 
@@ -28,7 +28,7 @@
     return Attempt(evidence=evidence, **given_)
 
 
-def test_what_may_run_once_is_repeated_only_on_proof() -> None:
+def test_a_non_idempotent_request_is_retried_only_if_it_did_not_run() -> None:
     verdicts = {
         evidence: judge(attempt(evidence, idempotent=False), RetryBudget())
         for evidence in Evidence
@@ -41,9 +41,9 @@
     }
 
 
-def test_a_refusal_says_no_only_on_proof() -> None:
-    said = {evidence: run_of(evidence) for evidence in Evidence}
-    assert [e for e, run in said.items() if run is Run.NO] == [
+def test_a_request_is_reported_as_not_run_only_on_proof() -> None:
+    runs = {evidence: run_of(evidence) for evidence in Evidence}
+    assert [e for e, run in runs.items() if run is Run.NO] == [
         Evidence.NOT_SENT,
         Evidence.REFUSED,
     ]
@@ -61,16 +61,16 @@
     assert retries <= 0.1 * requests + 3
 
 
-def test_time_and_tries_bound_an_attempt() -> None:
+def test_the_deadline_and_the_attempt_limit_prevent_a_retry() -> None:
     late = attempt(Evidence.NOT_SENT, left_s=0.0)
     many = attempt(Evidence.NOT_SENT, attempts=4)
     assert judge(late, RetryBudget()) is Verdict.GIVE_UP
     assert judge(many, RetryBudget()) is Verdict.GIVE_UP
 
 
-def test_what_stands_against_another_try_is_named() -> None:
-    # An operator who reads that a stream was cut must learn whether its route,
-    # its time or the retry budget forbade the next try.
+def test_the_obstacle_to_another_attempt_is_named() -> None:
+    # The log of a cut stream must show whether its route, its deadline or the
+    # retry budget prevented the next attempt.
     spent = RetryBudget(balance=0.0)
     named = [
         find_obstacle(attempt(Evidence.SENT, attempts=4), RetryBudget().spend),
--- a/tests/test_retry_policy.py
+++ b/tests/test_retry_policy.py
@@ -1,7 +1,7 @@
-"""What becomes of a request after a try that failed with part of it done.
+"""Retries of requests whose failed attempt may have run.
 
-A stream whose caller has part of it, or whose engine may have begun, has no way
-back if it is given up: what fits a request that was never sent would lose it.
+A stream that has begun, or may have run, is lost to its caller if it is given
+up, so the limits for requests that were never sent must not apply to it.
 """
 
 import asyncio
@@ -30,9 +30,9 @@
 )
 
 
-def test_a_begun_stream_is_not_ended_by_a_count_of_refusals() -> None:
-    # Its engine died, the others are full for three seconds: six refusals came
-    # within milliseconds, and the stream was cut though its caller still waited.
+def test_a_begun_stream_outlasts_the_limit_of_refusals() -> None:
+    # The stream's engine dies and the others are full for three seconds. Six
+    # refusals within milliseconds must not cut it while its caller waits.
     async def play() -> None:
         loop = asyncio.get_running_loop()
         begun_s = loop.time()
@@ -54,9 +54,9 @@
     run(play)
 
 
-def test_a_begun_stream_waits_for_a_retry_while_its_caller_waits() -> None:
-    # Its engine died as the retry budget was spent. There are seconds left, in
-    # which the window moves on and a repeat is to be had.
+def test_a_begun_stream_waits_for_the_retry_budget() -> None:
+    # The stream's engine dies while the retry budget is spent. The window frees a
+    # retry within the seconds that are left.
     async def play() -> None:
         dying, spare = Engine("e1", breaks), Engine("e2", goes_on)
         site = a_site(dying, repeats=1, window_s=4.0)
@@ -74,8 +74,8 @@
     run(play)
 
 
-def test_a_begun_stream_that_nobody_takes_ends_with_its_time() -> None:
-    # The wait is bounded, by the caller's time, and so are the tries.
+def test_a_begun_stream_that_all_servers_refuse_ends_at_its_deadline() -> None:
+    # The caller's deadline limits the wait, and the pauses limit the attempts.
     async def play() -> None:
         loop = asyncio.get_running_loop()
         begun_s = loop.time()
@@ -94,10 +94,10 @@
     run(play)
 
 
-def test_a_stream_that_may_have_run_waits_for_a_retry() -> None:
-    # It left an engine that never began, with the last repeat, and the next one
-    # turned it away. Its caller doesn't come back after a failure, and would wait
-    # for long yet: a 502 is the end of it.
+def test_a_stream_that_may_have_run_waits_for_the_retry_budget() -> None:
+    # The stream used the last retry to leave an engine that sent nothing, and the
+    # next engine refuses it. Its caller would wait longer but does not retry after
+    # a failure, so a 502 would lose the request.
     async def play() -> None:
         does = in_turn(never_answers, refuses, goes_on)
         route = replace(a_route(timeout_s=20.0), target_latency_s=4.0)
@@ -110,8 +110,8 @@
 
 
 def test_a_stream_that_may_have_run_waits_for_an_engine() -> None:
-    # The same where its caller bears little: the time in which a stream that was
-    # never sent looks for an engine is over when the repeat is to be had.
+    # The same with a short first-event target: by the time a retry is available,
+    # the time that a stream that was never sent may wait for an engine is over.
     async def play() -> None:
         does = in_turn(never_answers, refuses, goes_on)
         route = replace(a_route(timeout_s=20.0), target_latency_s=0.4)
@@ -123,9 +123,9 @@
     run(play)
 
 
-def test_a_stream_leaves_a_dark_engine_after_five_refusals() -> None:
-    # The sixth to be asked is dead. Refusals don't end a stream that may have
-    # run, so they don't keep it there either.
+def test_a_stream_leaves_a_silent_engine_after_five_refusals() -> None:
+    # The sixth engine is dead. Refusals don't end a stream that may have run, so
+    # they must not make it stay with a dead engine either.
     async def play() -> None:
         does = in_turn(*[refuses] * 5, never_answers, goes_on)
         site = a_site(*all_do(8, does), repeats=60)
@@ -136,8 +136,8 @@
     run(play)
 
 
-def test_a_look_up_goes_back_to_a_server_it_left() -> None:
-    # The other one refused it. A 503 would say that it has not run.
+def test_an_idempotent_request_returns_to_a_server_it_left() -> None:
+    # The other server refused the request. A 503 would state that it did not run.
     async def play() -> None:
         does = in_turn(answers_late, refuses, answers_soon)
         site = a_site(*all_do(2, does), route=a_look_up_route())
@@ -148,8 +148,8 @@
     run(play)
 
 
-def test_what_may_have_run_is_not_refused_as_unrun() -> None:
-    # It left a silent server, all others turn it away until its time is over.
+def test_a_request_that_may_have_run_is_not_refused_as_not_run() -> None:
+    # The request left a silent server, and all others refuse it until its deadline.
     async def play() -> None:
         does = in_turn(never_answers, refuses)
         site = a_site(*all_do(2, does), route=a_look_up_route())
@@ -160,8 +160,9 @@
     run(play)
 
 
-def test_a_failure_of_the_only_server_is_passed_on() -> None:
-    # There is nobody else to ask; its own answer says more than ours would.
+def test_an_error_response_of_the_only_server_is_passed_on() -> None:
+    # No other server is left, and the server's own response is more specific than
+    # a refusal.
     async def play() -> None:
         only = Engine("s1", lambda asked: [(0.01, answer(asked, 500, b"why"))])
         site = a_site(only, route=a_look_up_route())
@@ -172,10 +173,10 @@
     run(play)
 
 
-def test_repeats_arrive_in_the_window_in_which_they_are_counted() -> None:
-    # Two streams lose their engines four seconds apart, and one repeat is allowed
-    # in four seconds. Both wait for an engine; when it comes, both repeats would
-    # arrive at once, one of them counted long before.
+def test_retries_count_in_the_window_in_which_they_are_sent() -> None:
+    # Two streams lose their engines four seconds apart, with one retry allowed in
+    # four seconds. Both wait for an engine. If retries counted when reserved, both
+    # would be sent at once when it comes up.
     async def play() -> None:
         spare = Engine("e2", goes_on)
         site = a_site(Engine("e1", breaks), repeats=1, window_s=4.0)
--- a/tests/test_retry_window.py
+++ b/tests/test_retry_window.py
@@ -1,4 +1,4 @@
-"""The parts of the retry budget add up to no more than the whole."""
+"""The retries of all VMs together stay within the retry budget."""
 
 from bisect import bisect_left
 from typing import NamedTuple
@@ -10,7 +10,7 @@
 
 
 def spend(window: RetryWindow) -> bool:
-    """Make a repeat at once, if one is left."""
+    """Reserve and send a retry, if one is available."""
     reserved = window.reserve()
     if reserved:
         window.consume()
@@ -22,8 +22,8 @@
 
 
 @given(st.lists(st.integers(0, 40), min_size=4, max_size=4))
-def test_all_parts_together_keep_to_the_budget(requests: list[int]) -> None:
-    # Every VM meets a failing service at once and repeats all that it may.
+def test_all_vms_together_stay_within_the_budget(requests: list[int]) -> None:
+    # The service fails for all VMs at once, and each sends all allowed retries.
     clock = ManualClock()
     spent = 0
     for count in requests:
@@ -34,7 +34,7 @@
     assert spent <= 0.2 * sum(requests) + 50.0
 
 
-def test_what_was_spent_comes_back_after_the_window() -> None:
+def test_spent_retries_are_available_again_after_the_window() -> None:
     clock = ManualClock()
     window = a_window(clock)
     while spend(window):
@@ -48,9 +48,9 @@
 
 
 class TrafficPhase(NamedTuple):
-    """Hold a part of a day: its requests, and whether they are turned away.
+    """Describe a phase of traffic, and whether servers reject its requests.
 
-    They come to `vms` of the entry VMs, from the number `first` on.
+    The requests reach `vms` of the entry VMs, starting with number `first`.
     """
 
     duration_s: float
@@ -61,11 +61,11 @@
 
 
 def max_overspend(phases: list[TrafficPhase], *, vms: int) -> float:
-    """Return by how much repeats exceed the budget in the worst window.
+    """Return by how much retries exceed the budget in the worst window.
 
-    Where requests are turned away, every VM repeats all that it may. A window's
-    requests are those in it, in the one before, or in the one half a window
-    before, whichever are most.
+    In rejected phases, every VM sends all allowed retries. The requests of a
+    window are those in it, in the previous one or in the one half a window
+    earlier, whichever are most.
     """
     clock = ManualClock()
     windows = [
@@ -73,7 +73,7 @@
         for _ in range(vms)
     ]
     requests: list[float] = []
-    repeats: list[float] = []
+    retries: list[float] = []
     fractional_requests = 0.0
     for phase in phases:
         for _ in range(int(phase.duration_s / STEP_S)):
@@ -86,7 +86,7 @@
                 requests.append(clock.monotonic_s())
             for window in windows if phase.rejected else ():
                 while spend(window):
-                    repeats.append(clock.monotonic_s())
+                    retries.append(clock.monotonic_s())
 
     def count(times: list[float], start_s: float) -> int:
         return bisect_left(times, start_s + WINDOW_S) - bisect_left(times, start_s)
@@ -96,16 +96,16 @@
         return RATIO * max(count(requests, start) for start in starts) + SLACK
 
     return max(
-        (count(repeats, start_s) - budget(start_s) for start_s in sorted(set(repeats))),
+        (count(retries, start_s) - budget(start_s) for start_s in sorted(set(retries))),
         default=0.0,
     )
 
 
-def test_repeats_keep_to_the_budget_as_a_burst_ends() -> None:
-    # Twice the traffic for ten seconds; at its end all servers are full and turn
-    # requests away. Repeats that go by the requests of the ten seconds before go by
-    # the burst alone; a window that begins with them reaches beyond it, and so does
-    # each by which its budget may be counted: the service gets too many.
+def test_retries_stay_within_the_budget_as_a_burst_ends() -> None:
+    # Traffic doubles for ten seconds, and at its end all servers are full. If the
+    # allowance depended on the previous ten seconds, it would reflect the burst
+    # alone, while a window that starts with the retries, and each window that may
+    # set its budget, extend past the burst: too many retries would be sent.
     phases = [
         TrafficPhase(12.0, 97.0, False),
         TrafficPhase(9.0, 214.0, False),
@@ -116,10 +116,10 @@
         assert max_overspend(phases, vms=vms) <= 0
 
 
-def test_repeats_keep_to_the_budget_as_callers_move_to_other_vms() -> None:
-    # Callers of some VMs come to others, and all are turned away. Where each VM
-    # counts the requests of its own last ten seconds, a window over both sees the
-    # repeats of twice the requests that came.
+def test_retries_stay_within_the_budget_as_callers_move_to_other_vms() -> None:
+    # Callers move from some VMs to others, and all are rejected. If each VM used
+    # the requests of its own last ten seconds, a window that spans the move would
+    # contain the retries of twice the requests received.
     phases = [
         TrafficPhase(12.0, 200.0, False, first=0, vms=4),
         TrafficPhase(2.0, 200.0, True, first=0, vms=4),
@@ -144,14 +144,14 @@
     ),
     st.sampled_from((1, 9)),
 )
-def test_repeats_keep_to_the_budget_whatever_comes(
+def test_retries_stay_within_the_budget_for_any_traffic(
     phases: list[TrafficPhase], vms: int
 ) -> None:
     assert max_overspend(phases, vms=vms) <= 0
 
 
-def test_the_budget_is_used_in_full_while_traffic_is_steady() -> None:
-    # What is not spent serves nobody: a fifth of the requests may be repeated.
+def test_the_budget_is_fully_available_under_steady_traffic() -> None:
+    # A limit that is too strict wastes the budget of a retry per five requests.
     clock = ManualClock()
     window = RetryWindow(clock=clock, ratio=RATIO, slack=0.0, window_s=WINDOW_S)
     spent = 0
--- a/tests/test_server_notices.py
+++ b/tests/test_server_notices.py
@@ -1,4 +1,4 @@
-"""What a server says of itself in an answer holds for the requests after it."""
+"""Server-Leaving and Retry-After of a response apply to later requests."""
 
 import asyncio
 import os
@@ -42,12 +42,12 @@
 FEW = pytest.param((5, 2.0, 3.0), id="few")
 CROWD = pytest.param((26, 3.0, 4.0), id="crowd")
 sizes = pytest.mark.parametrize("size", [FEW, CROWD])
-# By hand, SEEDS=50 plays so many random courses.
+# Number of random scenarios; set SEEDS in the environment to run more.
 SEEDS = range(int(os.environ.get("SEEDS", "3")))
-# A server is left alone from so long after it shed a request.
+# Requests already in flight may still arrive this long after a rejection.
 BACKOFF_GRACE_S = 0.5
 RETRY_AFTER_S = 3.0
-# What may still reach it until its backoff is over.
+# Limit of the requests that reach a server after that and before its backoff ends.
 SENDS_IN_BACKOFF = 2
 
 Scenario = Callable[[OutspokenWorld], Awaitable[None]]
@@ -61,7 +61,7 @@
     servers: int = 4,
     seed: int = 7,
 ) -> list[float]:
-    """Return how late requests reached a server that had said that it leaves."""
+    """Return the delays after Server-Leaving at which requests still arrived."""
     vms, drain_s, contact_s = size
     world = OutspokenWorld(
         drain_s=drain_s, contact_s=contact_s, rng=random.Random(seed)
@@ -78,9 +78,10 @@
     return sorted(world.late_after_s, reverse=True)[:5]
 
 
-# Guards against going by the store alone, which may tell of a leave much later.
+# Guards against relying on the store alone, which may list a leaving server for
+# much longer.
 @sizes
-def test_a_server_that_says_it_leaves_gets_nothing_though_the_store_is_silent(
+def test_a_server_that_sends_leaving_gets_no_requests_before_the_store_lists_it(
     monkeypatch: pytest.MonkeyPatch, size: tuple[int, float, float]
 ) -> None:
     async def scenario(world: OutspokenWorld) -> None:
@@ -90,10 +91,10 @@
     assert late_sends(monkeypatch, size, scenario) == []
 
 
-# Guards against an entry that lapsed in an outage, and is back as it was before
-# the leave, undoing what the server itself said.
+# Guards against an entry that expired in an outage and is restored in its state
+# before the leave overriding the server's own notice.
 @sizes
-def test_an_entry_that_comes_back_does_not_undo_that_its_server_leaves(
+def test_a_restored_entry_does_not_override_the_leaving_notice(
     monkeypatch: pytest.MonkeyPatch, size: tuple[int, float, float]
 ) -> None:
     async def scenario(world: OutspokenWorld) -> None:
@@ -108,10 +109,13 @@
     assert late_sends(monkeypatch, size, scenario) == []
 
 
-# Guards against sums of troubles: a store that is away, turns VMs away or loses its
-# history, entries that lapse, words lost, while servers leave by their answers alone.
+# Guards against combined failures: an unavailable store, one that rejects VMs or
+# loses its history, expired entries and lost peer messages, while only responses
+# announce that servers leave.
 @pytest.mark.parametrize("seed", SEEDS)
-def test_random_leaves_are_heeded(monkeypatch: pytest.MonkeyPatch, seed: int) -> None:
+def test_leaving_notices_hold_under_random_failures(
+    monkeypatch: pytest.MonkeyPatch, seed: int
+) -> None:
     rng = random.Random(seed)
     size = rng.choice([(3, 2.0, 3.0), (9, 2.0, 3.0), (26, 3.0, 4.0)])
 
@@ -137,13 +141,13 @@
 
 
 def sheds(asked: Asked, *, retry_after_s: float = RETRY_AFTER_S) -> Timetable:
-    """Turn a request away unrun, and tell when to come back."""
+    """Reject a request without running it, with a Retry-After."""
     extra = f"Not-Executed: 1\r\nRetry-After: {retry_after_s:.2f}\r\n"
     return [(0.005, answer(asked, 503, b"", extra))]
 
 
 def sheds_once(does: Callable[[Asked], Timetable]) -> Callable[[Asked], Timetable]:
-    """Shed the first request, and do as told from then on."""
+    """Reject the first request and handle later ones with `does`."""
     asked_before = False
 
     def do(asked: Asked) -> Timetable:
@@ -155,7 +159,7 @@
 
 
 def sends_in_backoff(engine: Engine) -> int:
-    """Count the requests that reached a server in its backoff."""
+    """Count the requests that reached a server during its backoff."""
     backoff_until_s = enforced_from_s = -1e9
     late = 0
     for at_s in engine.asked_at_s:
@@ -177,8 +181,8 @@
     )
 
 
-# Guards against asking a server that sheds load again each tenth of a second.
-def test_streams_leave_an_engine_alone_that_sheds_load() -> None:
+# Guards against retrying a server that sheds load every 0.1 s.
+def test_streams_back_off_from_an_engine_that_sheds_load() -> None:
     async def play_site() -> None:
         engine = Engine("e1", sheds)
         site = a_site(engine, repeats=100.0)
@@ -189,8 +193,8 @@
     run(play_site)
 
 
-# Guards against the same at a plain service, whose requests wait only shortly.
-def test_look_ups_leave_a_server_alone_that_sheds_load() -> None:
+# Guards against the same at a plain service, whose requests wait only briefly.
+def test_plain_requests_back_off_from_a_server_that_sheds_load() -> None:
     async def play_site() -> None:
         engine = Engine("e1", sheds)
         site = a_site(engine, repeats=100.0, route=a_look_up_route())
@@ -201,8 +205,10 @@
     run(play_site)
 
 
-# Guards against callers being held to their deadline by a backoff that outlasts them.
-def test_what_a_backoff_outlasts_is_refused_at_once() -> None:
+# Guards against callers waiting until their deadline for a backoff that ends later.
+def test_a_request_whose_deadline_precedes_the_backoffs_end_is_refused_at_once() -> (
+    None
+):
     async def play_site() -> None:
         engine = Engine("e1", sheds)
         route = a_route(timeout_s=2.0)
@@ -219,8 +225,8 @@
     run(play_site)
 
 
-# Guards against all that waited for a backoff to end going there in one moment.
-def test_after_a_backoff_one_request_finds_out_and_the_others_follow() -> None:
+# Guards against all waiting requests being sent at once when a backoff ends.
+def test_after_a_backoff_one_request_probes_the_server_before_the_others() -> None:
     async def play_site() -> None:
         engine = Engine("e1", sheds_once(lambda asked: streams(asked, 0.2, until=8)))
         site = a_site(engine, repeats=100.0, route=a_route(timeout_s=20.0))
@@ -237,7 +243,8 @@
     run(play_site)
 
 
-# Guards against a server that sheds load keeping a request from another that takes it.
+# Guards against a request waiting for a server that sheds load while another is
+# available.
 def test_a_request_goes_to_another_engine_while_one_sheds_load() -> None:
     async def play_site() -> None:
         shedding, other = Engine("e1", sheds), Engine("e2", goes_on)
@@ -250,10 +257,10 @@
     run(play_site)
 
 
-# Guards against the holder of the lease, who asks engines for reports and gives them
-# orders, going by less than what their answers say.
+# Guards against the holder of the placement lease ignoring notices in responses to
+# its orders and report requests.
 @pytest.mark.parametrize("status", [200, 202, 409, 503])
-def test_engines_say_that_they_leave_in_answers_to_orders_and_reports(
+def test_leaving_notices_are_read_from_responses_to_orders_and_reports(
     status: int,
 ) -> None:
     heard: list[tuple[str, ServerNotice]] = []
@@ -283,8 +290,9 @@
     assert heard == [("e1", ServerNotice(leaving=True))] * 2
 
 
-# Guards against a server being left for the word of another at its old address.
-def test_an_answer_of_another_server_says_nothing_of_the_one_asked() -> None:
+# Guards against attributing a notice to a server whose address another server now
+# has.
+def test_a_misdirected_response_carries_no_notice_for_the_intended_server() -> None:
     assert read_notice(421, HTTPHeaders({"Server-Leaving": "1"})) == NO_NOTICE
 
 
@@ -293,7 +301,7 @@
     [
         (503, "3", 3.0),
         (429, "0.5", 0.5),
-        # A failure of one request asks its caller to come back, not this VM.
+        # In an error response, Retry-After applies to that request only.
         (500, "3", 0.0),
         (503, "", 0.0),
         (503, "-1", 0.0),
@@ -302,20 +310,21 @@
         (503, "Wed, 21 Oct 2026 07:28:00 GMT", 0.0),
     ],
 )
-def test_only_a_server_that_turns_requests_away_is_backed_off_from(
+def test_only_valid_retry_after_of_a_rejection_starts_a_backoff(
     status: int, given: str, retry_after_s: float
 ) -> None:
     notice = read_notice(status, HTTPHeaders({"Retry-After": given}))
     assert notice.retry_after_s == retry_after_s
 
 
-# Guards against a broken answer taking a server out for good.
-def test_no_backoff_lasts_for_ever() -> None:
+# Guards against a faulty response excluding a server forever.
+def test_the_length_of_a_backoff_is_limited() -> None:
     notice = read_notice(503, HTTPHeaders({"Retry-After": "1e9"}))
     assert notice.retry_after_s == BACKOFF_MAX_S
 
 
-# Guards against the lease's holder ordering models onto an engine that sheds load.
+# Guards against the holder of the placement lease ordering model loads onto an
+# engine that sheds load.
 def test_an_engine_that_sheds_load_gets_no_orders() -> None:
     server = a_server("e1")
     record = EngineRecord(server="e1", known=True)
@@ -328,7 +337,7 @@
 
 @dataclass(slots=True)
 class SheddingServer:
-    """Shed load at random, and count what comes all the same."""
+    """Shed load at random and count the requests that arrive in a backoff."""
 
     rng: random.Random
     enforced_from_s: float = -1e9
@@ -353,10 +362,10 @@
         return sheds(asked, retry_after_s=retry_after_s)
 
 
-# Guards against backoffs of several servers at once driving all requests to the others,
-# and these back to the first.
+# Guards against requests oscillating between servers when several back off at the
+# same time.
 @pytest.mark.parametrize("seed", SEEDS)
-def test_random_backoffs_are_heeded(seed: int) -> None:
+def test_random_backoffs_are_respected(seed: int) -> None:
     async def play_site() -> None:
         rng = random.Random(seed)
         shedding = [SheddingServer(rng) for _ in range(rng.choice([1, 2, 5]))]
--- a/tests/test_silent_servers.py
+++ b/tests/test_silent_servers.py
@@ -1,9 +1,8 @@
-"""Whether a request leaves a server that stands still, and what it then costs.
+"""When a request leaves a silent server.
 
-A full engine sets requests aside for seconds while it serves others; a dead one
-sends nothing to anybody. A request that is broken off before it is known that
-another server may and can go on with it is lost to its caller, although its
-server was at work.
+A full engine preempts requests for seconds while it serves others; a dead one
+sends nothing at all. A request that leaves before a retry and capacity elsewhere
+are certain is lost to its caller, even if its server would have resumed it.
 """
 
 import asyncio
@@ -42,11 +41,11 @@
 from rosepath.catalog import RouteKind
 
 
-def test_a_stream_is_not_broken_off_when_no_retry_is_left() -> None:
-    # An engine under a crowd sets a stream aside for seconds. The entry VM took
-    # that for silence and broke it off, and only then found the retry budget
-    # spent: the caller, who had most of his time left, got a closed connection
-    # in the middle, while the engine would have gone on.
+def test_a_stream_stays_when_the_retry_budget_is_spent() -> None:
+    # A loaded engine preempts a stream for seconds. If the entry VM ends the
+    # exchange before it checks the retry budget, the caller's connection is closed
+    # in the middle of the stream, although the engine would have resumed it well
+    # before the deadline.
     async def play() -> None:
         engines = Engine("e1", sets_aside), Engine("e2", sets_aside)
         site = a_site(*engines, repeats=0)
@@ -58,9 +57,9 @@
     run(play)
 
 
-def test_a_stream_is_not_broken_off_when_no_other_engine_has_room() -> None:
-    # A retry is left, but all places elsewhere are taken: the broken stream
-    # would be turned away there again and again, and be cut in the end.
+def test_a_stream_stays_when_no_other_engine_has_a_free_slot() -> None:
+    # A retry is available, but all slots elsewhere are taken. Other engines would
+    # refuse the stream repeatedly until it is cut.
     async def play() -> None:
         engines = Engine("e1", sets_aside), Engine("e2", refuses)
         site = a_site(*engines)
@@ -73,10 +72,10 @@
     run(play)
 
 
-def test_a_stream_stays_with_an_engine_that_moves_others() -> None:
-    # The engine is full, not dead: its other streams go on. Elsewhere the
-    # prompt would have to be read anew, and a repeat would be spent. Callers of
-    # this route wait for long, as those of overnight work do.
+def test_a_stream_stays_with_an_engine_that_serves_others() -> None:
+    # The engine is full, not dead, as its other streams progress. Moving would
+    # cost a retry and another prefill of the prompt. The route has a long timeout,
+    # as batch work has.
     async def play() -> None:
         engine = Engine("e1", only_first_is_set_aside)
         route = replace(a_route(timeout_s=20.0), target_latency_s=4.0)
@@ -93,12 +92,12 @@
     run(play)
 
 
-def test_a_stream_leaves_an_engine_that_went_dark() -> None:
-    # The connection is open and nothing comes over it, for anybody; another
-    # engine has room. The stream goes on there after its last event.
+def test_a_stream_leaves_an_engine_that_sends_nothing_to_anyone() -> None:
+    # The connection stays open, but the engine sends nothing on any connection.
+    # The stream resumes after its last event at another engine with a free slot.
     async def play() -> None:
-        dark, spare = Engine("e1", goes_dark), Engine("e2", goes_on)
-        site = a_site(dark)
+        silent, spare = Engine("e1", goes_dark), Engine("e2", goes_on)
+        site = a_site(silent)
         caller = asks()
         serving = asyncio.ensure_future(site.serve(caller))
         await asyncio.sleep(0.1)
@@ -106,29 +105,30 @@
         await serving
         assert heard_whole(caller)
         assert spare.asked[0].headers["last-event-id"] == "2"
-        assert spare.asked_at_s[0] - dark.asked_at_s[0] < 2.0
+        assert spare.asked_at_s[0] - silent.asked_at_s[0] < 2.0
 
     run(play)
 
 
-def test_a_stream_that_was_kept_leaves_once_there_is_room() -> None:
-    # At first there was no place elsewhere; the stream is looked at again.
+def test_a_stream_that_stayed_leaves_once_a_slot_is_free() -> None:
+    # At first no other engine has a free slot; the check is repeated.
     async def play() -> None:
-        dark, spare = Engine("e1", goes_dark), Engine("e2", goes_on)
-        site = a_site(dark)
+        silent, spare = Engine("e1", goes_dark), Engine("e2", goes_on)
+        site = a_site(silent)
         caller = asks()
         serving = asyncio.ensure_future(site.serve(caller))
         await asyncio.sleep(5.0)
         add(site, spare)
         await serving
         assert heard_whole(caller)
-        assert spare.asked_at_s[0] - dark.asked_at_s[0] < 7.0
+        assert spare.asked_at_s[0] - silent.asked_at_s[0] < 7.0
 
     run(play)
 
 
-def test_a_look_up_is_not_broken_off_when_no_retry_is_left() -> None:
-    # The answer takes longer than usual; given up unasked, it became a 502.
+def test_an_idempotent_request_stays_when_the_retry_budget_is_spent() -> None:
+    # The response takes longer than usual. Ending the exchange without a retry in
+    # reserve turned it into a 502.
     async def play() -> None:
         route = a_route(kind=RouteKind.IDEMPOTENT, service="desk", timeout_s=5.0)
         slow = Engine("s1", lambda asked: answers(asked, after_s=1.0))
@@ -141,9 +141,9 @@
     run(play)
 
 
-def test_a_first_event_is_waited_for_when_no_retry_is_left() -> None:
-    # Queued at its engine for longer than was predicted; the same fault, before
-    # the first event.
+def test_a_queued_stream_stays_when_the_retry_budget_is_spent() -> None:
+    # The same failure before the first event: the request is queued at its engine
+    # for longer than predicted.
     async def play() -> None:
         late = Engine("e1", lambda asked: streams(asked, 6.0, until=8))
         site = a_site(late, Engine("e2", refuses), repeats=0)
@@ -155,15 +155,15 @@
     run(play)
 
 
-def test_a_stream_goes_to_an_engine_that_turned_it_away_before() -> None:
-    # Full then, it has room now; one refusal in the beginning must not keep a
-    # stream with an engine that died since.
-    for dark, events in ((goes_dark, 2), (never_answers, 0)):
+def test_a_stream_moves_to_an_engine_that_refused_it_before() -> None:
+    # The engine was full and now has a free slot. The earlier refusal must not keep
+    # the stream with an engine that has died since.
+    for silent, events in ((goes_dark, 2), (never_answers, 0)):
 
         async def play(
-            dark: Callable[[Asked], Timetable] = dark, events: int = events
+            silent: Callable[[Asked], Timetable] = silent, events: int = events
         ) -> None:
-            site = a_site(*all_do(2, in_turn(refuses, dark, goes_on)))
+            site = a_site(*all_do(2, in_turn(refuses, silent, goes_on)))
             caller = asks()
             await site.serve(caller)
             assert heard_whole(caller), (events, caller.events)
@@ -171,8 +171,9 @@
         run(play)
 
 
-def test_a_stream_with_an_adapter_leaves_an_engine_that_went_dark() -> None:
-    # The other engine has the model and a place, and gets the adapter when asked.
+def test_a_stream_with_an_adapter_leaves_a_silent_engine() -> None:
+    # The other engine has the model and a free slot, and loads the adapter on
+    # request.
     async def play() -> None:
         site = a_site(Engine("e1", goes_dark), Engine("e2", goes_on))
         site.fleet.put(an_entry("e1", address="e1:1", models={"m0": frozenset({"a1"})}))
@@ -185,9 +186,9 @@
     run(play)
 
 
-def test_a_look_up_that_names_a_model_leaves_a_server_that_went_dark() -> None:
-    # Servers of a plain service hold no models; what a caller says of one is not
-    # asked of them.
+def test_a_plain_request_that_names_a_model_leaves_a_silent_server() -> None:
+    # Servers of a plain service hold no models, so a model named by the caller does
+    # not restrict the choice of server.
     async def play() -> None:
         does = in_turn(never_answers, answers_soon)
         site = a_site(*all_do(2, does), route=a_look_up_route())
@@ -198,9 +199,9 @@
     run(play)
 
 
-def test_a_stream_that_is_set_aside_leaves_before_its_caller_does() -> None:
-    # Its engine moves others and does not come back to it; the caller leaves after
-    # eight good pauses, and another engine has room.
+def test_a_preempted_stream_leaves_before_its_caller_does() -> None:
+    # The engine serves others and never resumes this stream. The caller leaves
+    # after eight target gaps, and another engine has a free slot.
     async def play() -> None:
         def never_comes_back(asked: Asked) -> Timetable:
             if asked.request_id == "q1":
@@ -221,9 +222,9 @@
     run(play)
 
 
-def test_what_all_but_one_turned_away_is_not_broken_off_there() -> None:
-    # Five refusals, then a server that takes its time. It was left for its silence,
-    # a repeat was taken, and then there were too many refusals to go on.
+def test_a_request_that_all_other_servers_refused_stays_with_a_slow_one() -> None:
+    # Five servers refuse, the sixth is slow. Leaving it for its silence would take a
+    # retry, only to find that the limit of attempts is reached.
     async def play() -> None:
         late = in_turn(*[refuses] * 5, answers_late, answers_soon)
         site = a_site(*all_do(8, late), repeats=60, route=a_look_up_route())
--- a/tests/test_stream_pauses.py
+++ b/tests/test_stream_pauses.py
@@ -1,4 +1,4 @@
-"""How long a stream may stand still before it goes on elsewhere."""
+"""Stall timeouts of streams, by whether another attempt may follow."""
 
 import asyncio
 import math
@@ -53,16 +53,16 @@
     )
 
 
-def test_a_stream_that_can_go_on_elsewhere_leaves_an_engine_that_stands_still() -> None:
+def test_a_stream_that_can_resume_elsewhere_has_a_short_stall_timeout() -> None:
     clock = ManualClock()
     context = a_context(clock=clock, max_attempts=2, resumable=True)
     assert a_retry_policy(clock).stall_timeout_s(context) < 1.0
 
 
-def test_a_stream_on_its_last_try_is_not_broken_off_for_silence() -> None:
-    # Each of two engines stood still for 0.7 s under a crowd. After the second
-    # the route allowed no third: the stream was cut before its caller, who got
-    # neither an answer nor a refusal, while the engine still worked for it.
+def test_a_stream_on_its_last_attempt_does_not_time_out_for_silence() -> None:
+    # Under load, two engines in turn pause for 0.7 s, and the route allows no third
+    # attempt. A stall timeout would cut the stream without a response or refusal,
+    # although the second engine still works on it.
     clock = ManualClock()
     again = a_context(
         Evidence.ANSWER_BEGUN, clock=clock, max_attempts=2, resumable=True
