--- a/src/rosepath/attempt.py
+++ b/src/rosepath/attempt.py
@@ -23,16 +23,16 @@
 # Connecting takes about 1 ms within a data centre and a few ms between two.
 CONNECT_TIMEOUT_S = 0.4
 # A non-idempotent request must not be lost on a dead connection. The kernel's
-# keepalive probes detect one within three seconds, so a connection that received
-# data this recently, or survived the probes, is live.
+# keepalive probes detect one within three seconds, so a connection that
+# received data this recently, or survived the probes, is live.
 PROVEN_LIVE_WITHIN_S = 3.0
 
 
 class AttemptError(RosepathError):
     """An attempt ended without a valid response.
 
-    `lost` means that the server's end of the connection closed while the request
-    ran, `answered` that the server had begun its response before.
+    `lost` means that the server's end of the connection closed while the
+    request ran, `answered` that the server had begun its response before.
     """
 
     def __init__(
@@ -59,7 +59,7 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class Answer:
-    """Hold a backend server's response; events of a stream are not in the body."""
+    """Hold a backend server's response; `body` omits events of a stream."""
 
     head: ResponseHead
     facts: AnswerFacts
@@ -67,7 +67,7 @@
 
     @property
     def delimited(self) -> bool:
-        """Return whether the headers delimit the body (not the connection's close)."""
+        """Return whether the headers, not the close, delimit the body."""
         return says_its_end(self.head.headers)
 
     @property
@@ -80,9 +80,10 @@
     """Set the limits, added headers and callbacks of one attempt.
 
     `response_timeout_s` limits the silence before the response begins,
-    `stall_timeout_s` the silence after. `still_wanted` is called right before the
-    first byte is sent, and `may_break_off` before an exchange with a silent
-    server is ended. `on_notice` receives the notice in the response's headers.
+    `stall_timeout_s` the silence after. `still_wanted` is called right before
+    the first byte is sent, and `may_break_off` before an exchange with a
+    silent server is ended. `on_notice` receives the notice in the response's
+    headers.
     """
 
     deadline_s: float
@@ -233,6 +234,6 @@
 
 
 def _evidence_of(event_sequence: EventSequence | None) -> Evidence:
-    if event_sequence is not None and event_sequence.events:
+    if event_sequence is not None and event_sequence.event_count:
         return Evidence.ANSWER_BEGUN
     return Evidence.SENT
--- a/src/rosepath/call_deadline.py
+++ b/src/rosepath/call_deadline.py
@@ -23,6 +23,6 @@
 
     def _expire(self) -> None:
         # If the VM was paused, data that arrived meanwhile is read in the same
-        # loop iteration in which the timer fires. Cancelling one iteration later
-        # lets that data count.
+        # loop iteration in which the timer fires. Cancelling one iteration
+        # later lets that data count.
         self._loop.call_soon(self._call.cancel)
--- a/src/rosepath/event_sequence.py
+++ b/src/rosepath/event_sequence.py
@@ -15,7 +15,7 @@
     """Hold the position of a caller's stream across its attempts."""
 
     last_id: int | None = None
-    events: int = 0
+    event_count: int = 0
     _pending: bytes = b""
 
     def discard_partial_event(self) -> None:
@@ -51,7 +51,7 @@
         if self.last_id is not None and event_id != self.last_id + 1:
             raise EventSequenceError(f"events {self.last_id + 1} to {event_id} missing")
         self.last_id = event_id
-        self.events += 1
+        self.event_count += 1
         return True
 
 
--- a/src/rosepath/relay.py
+++ b/src/rosepath/relay.py
@@ -133,7 +133,7 @@
         return catalog.find(call.host, call.path.partition("?")[0])
 
     async def _wait_for_route(self, call: CallerCall) -> None:
-        """Wait up to ROUTE_WAIT_S for a configuration that has the request's route."""
+        """Wait briefly for a configuration that has the request's route."""
         with suppress(TimeoutError):
             async with (
                 asyncio.timeout(min(ROUTE_WAIT_S, call.wait_s or ROUTE_WAIT_S)),
@@ -182,8 +182,8 @@
     ) -> bool:
         """Return whether to retry a request that got an error response.
 
-        Raises RefusalError if the request can neither be retried nor the response
-        be passed on.
+        Raises RefusalError if the request can neither be retried nor the
+        response be passed on.
         """
         if answer.head.status < 500 and not context.exchange.begun:
             return False
@@ -221,7 +221,7 @@
         event_sequence = context.event_sequence
         if event_sequence is not None:
             event_sequence.discard_partial_event()
-        begun = event_sequence is not None and event_sequence.events > 0
+        begun = event_sequence is not None and event_sequence.event_count > 0
         options = AttemptOptions(
             deadline_s=context.deadline_s,
             response_timeout_s=self._retry_policy.response_timeout_s(context, server),
@@ -233,7 +233,8 @@
             last_event_id=event_sequence.last_id
             if event_sequence is not None and begun
             else None,
-            # The server may leave while an adapter is loaded or a connection made.
+            # The server may leave while an adapter loads or a connection is
+            # made.
             still_wanted=lambda: (
                 server.usable
                 and not server.in_backoff(self._now_s())
@@ -261,7 +262,7 @@
             self._suspects.end(context)
 
     def _apply_notice(self, server: BackendServer, notice: ServerNotice) -> None:
-        """Apply the notice in a response's headers to the server that sent it."""
+        """Apply the notice in a response's headers to its server."""
         now_s = self._now_s()
         if notice.retry_after_s:
             if not server.in_backoff(now_s):
@@ -303,7 +304,8 @@
             silent = error.timed_out or error.evidence is Evidence.NOT_SENT
             note_failure(server, now_s=now_s, silent=silent)
         elif error.status == 421 and context.call.prompt is not None:
-            # The server no longer holds the model or adapter that it was listed with.
+            # The server no longer holds the model or adapter that it was
+            # listed with.
             prompt = context.call.prompt
             if prompt.adapter and prompt.model in server.held:
                 server.held[prompt.model].discard(prompt.adapter)
--- a/src/rosepath/request_context.py
+++ b/src/rosepath/request_context.py
@@ -63,14 +63,15 @@
     models: ModelPort
     fleet_changed: asyncio.Condition
     cut_off: Callable[[], Collection[str]]
-    # Until when a request that was never sent may wait; limited by a planned stop.
+    # Until when a request that was never sent may wait; limited by a planned
+    # stop.
     wait_limit_s: Callable[[], float]
     on_outcome: Callable[["RequestContext", int, str], None]
     crashes: CrashWatch
     # Called for each response which states that its server is leaving.
     on_leaving: Callable[[BackendServer], None] = lambda _: None
-    # Whether the known fleet is current enough to route by, and the refresh that
-    # makes it current.
+    # Whether the known fleet is current enough to route by, and the refresh
+    # that makes it current.
     fleet_sound: Callable[[], bool] = lambda: True
     make_sure: Callable[[], Awaitable[None]] = _skip_refresh
     # Version and age of the catalog.
--- a/src/rosepath/retries.py
+++ b/src/rosepath/retries.py
@@ -19,7 +19,7 @@
 
 @dataclass(slots=True, kw_only=True)
 class RetryBudget:
-    """Token bucket: each request adds a share of a retry, each retry takes one.
+    """Hold a token bucket: requests add a share of a retry, retries take one.
 
     Prevents retries from multiplying the load while replicas fail.
     """
@@ -86,7 +86,7 @@
 def find_obstacle(
     attempt: Attempt, reserve_retry: Callable[[], bool]
 ) -> Obstacle | None:
-    """Return what prevents another attempt; if nothing, reserve a retry."""
+    """Return what prevents a retry; if nothing does, reserve one."""
     if attempt.attempts >= attempt.max_attempts:
         return Obstacle.ATTEMPTS_USED
     if attempt.left_s <= 0:
--- a/src/rosepath/retry_after.py
+++ b/src/rosepath/retry_after.py
@@ -9,7 +9,7 @@
 
 
 def read_retry_after_s(headers: HTTPHeaders) -> float:
-    """Return the Retry-After of a response in seconds, 0 if absent or invalid."""
+    """Return Retry-After in seconds, 0 if absent or invalid."""
     try:
         given_s = float(headers.get("Retry-After", ""))
     except ValueError:
--- a/src/rosepath/retry_policy.py
+++ b/src/rosepath/retry_policy.py
@@ -1,4 +1,4 @@
-"""Timeouts of attempts, and whether a failed attempt is followed by another."""
+"""Timeouts of attempts, and the decision to retry failed ones."""
 
 import asyncio
 
@@ -15,20 +15,20 @@
 # After this many refusals the cause is a lack of capacity rather than chance,
 # and further attempts would only use up the retry budget of other requests.
 MAX_SENT_ATTEMPTS = 6
-# Pause before a begun stream is sent again after MAX_SENT_ATTEMPTS attempts, or
-# while the retry budget is spent. Slots become free as shorter streams end.
+# Pause before a begun stream is sent again after MAX_SENT_ATTEMPTS attempts,
+# or while the retry budget is spent. Slots become free as shorter streams end.
 RETRY_PAUSE_S = 0.5
 # An idempotent request of a plain service goes to another server after this
 # multiple of the server's usual latency, but not before the minimum.
 LATENCY_FACTOR = 5.0
 MIN_RESPONSE_TIMEOUT_S = 0.2
-# A resumable stream moves to another server after a silence of this multiple of
-# the route's target gap between events, but not before the minimum. Callers
+# A resumable stream moves to another server after a silence of this multiple
+# of the route's target gap between events, but not before the minimum. Callers
 # leave after eight times the target gap.
 GAP_FACTOR = 3.0
 MIN_STALL_TIMEOUT_S = 0.7
-# The same before the first event, relative to the predicted time to it. A longer
-# wait indicates an engine that does not respond rather than a queue.
+# The same before the first event, relative to the predicted time to it. A
+# longer wait indicates an engine that does not respond rather than a queue.
 MIN_FIRST_EVENT_TIMEOUT_S = 0.6
 FIRST_EVENT_FACTOR = 3.0
 
@@ -62,14 +62,15 @@
     def _is_last_attempt(context: RequestContext) -> bool:
         """Return whether no other attempt could follow this one.
 
-        Such an attempt is not ended for silence: nothing would be gained, and a
-        stream would be lost to its caller.
+        Such an attempt is not ended for silence: nothing would be gained, and
+        a stream would be lost to its caller.
         """
         if not context.route.repeatable:
             return True
         if context.possibly_run_count + 1 >= context.route.max_attempts:
             return True
-        # A stream that may have run is retried, with pauses, beyond this limit.
+        # A stream that may have run is retried, with pauses, beyond this
+        # limit.
         return (
             context.event_sequence is None
             and context.sent_count + 1 >= MAX_SENT_ATTEMPTS
@@ -82,7 +83,7 @@
         return max(MIN_STALL_TIMEOUT_S, GAP_FACTOR * context.route.target_gap_s)
 
     def should_leave(self, context: RequestContext, server: BackendServer) -> bool:
-        """Return whether a request leaves a silent server; reserves a retry if so."""
+        """Return whether to leave a silent server; reserve a retry if so."""
         now_s, route = self._now_s(), context.route
         stay_reason = reason_to_stay(
             Silence(
@@ -136,7 +137,7 @@
         )
 
     def obstacle(self, context: RequestContext, error: AttemptError) -> Obstacle | None:
-        """Return what prevents another attempt; if nothing, reserve a retry."""
+        """Return what prevents a retry; if nothing does, reserve one."""
         if context.sent_count >= MAX_SENT_ATTEMPTS and not context.lost_if_refused:
             return Obstacle.TOO_MANY_REFUSALS
         return find_obstacle(
--- a/src/rosepath/retry_window.py
+++ b/src/rosepath/retry_window.py
@@ -24,10 +24,10 @@
 
 @dataclass(slots=True, kw_only=True)
 class RetryWindow:
-    """Limit retries of one service to a ratio of this VM's requests plus slack.
+    """Limit retries of a service to a ratio of own requests, plus slack.
 
-    The VMs share no state: each derives its allowance from the requests that it
-    received itself, so that their sum keeps to the ratio. For this, all VMs
+    The VMs share no state: each derives its allowance from the requests that
+    it received itself, so that their sum keeps to the ratio. For this, all VMs
     assign requests to a window by the same rule: the requests from half a
     window before its start to half a window after it count. Using the requests
     of the previous window instead would count callers that move to other VMs
@@ -39,8 +39,8 @@
     slack: float
     window_s: float
     vms: int = 1
-    # Retries reserved but not sent yet, for example while waiting for a server.
-    # They count towards the windows in which they are sent.
+    # Retries reserved but not sent yet, for example while waiting for a
+    # server. They count towards the windows in which they are sent.
     _reserved: int = 0
     _requests_s: list[float] = field(default_factory=list)
     _bursts: list[_Burst] = field(default_factory=list)
@@ -78,8 +78,8 @@
         self._expire()
         now_s = self.clock.monotonic_s()
         # Every window that contains the present must allow the retries sent
-        # since its start. The earliest such window starts one window length ago
-        # or right after a burst.
+        # since its start. The earliest such window starts one window length
+        # ago or right after a burst.
         window_starts_s = [
             now_s - self.window_s,
             *(burst.last_s for burst in self._bursts),
@@ -95,7 +95,7 @@
         return available - self._reserved
 
     def _allowance_from(self, start_s: float) -> float:
-        """Return the retries allowed in a window by the requests seen so far."""
+        """Return the retries that the requests so far allow in a window."""
         half_s = self.window_s / 2
         requests = bisect_left(self._requests_s, start_s + half_s) - bisect_left(
             self._requests_s, start_s - half_s
@@ -103,7 +103,7 @@
         return self.ratio * requests + SLACK_USED * self.slack / self.vms
 
     def _expire(self) -> None:
-        """Drop bursts and requests that no window containing the present uses."""
+        """Drop entries that affect no window containing the present."""
         old_s = self.clock.monotonic_s() - self.window_s
         while self._bursts and self._bursts[0].last_s <= old_s:
             del self._bursts[0]
--- a/src/rosepath/silence.py
+++ b/src/rosepath/silence.py
@@ -1,8 +1,8 @@
 """Decide whether a request leaves a server that sends nothing; no I/O.
 
 A full server may preempt a request for seconds and resume it later; a dead
-server never does. A request that leaves while no retry or no capacity elsewhere
-is available is lost to its caller, so both are checked first.
+server never does. A request that leaves while no retry or no capacity
+elsewhere is available is lost to its caller, so both are checked first.
 """
 
 from collections.abc import Callable
@@ -43,7 +43,8 @@
     def preempted(self) -> bool:
         """Return whether the server has paused this request and serves others.
 
-        A dead connection is ruled out: the kernel's keepalive probes detect it.
+        A dead connection is ruled out: the kernel's keepalive probes detect
+        it.
         """
         if not self.begun or self.server_idle_s is None:
             return False
@@ -56,7 +57,7 @@
 def reason_to_stay(
     silence: Silence, reserve_retry: Callable[[], bool]
 ) -> StayReason | None:
-    """Return why a request stays, or None if it leaves; then reserves a retry."""
+    """Return why a request stays; reserve a retry and return None if not."""
     if silence.preempted:
         return StayReason.SERVER_ACTIVE
     if not silence.capacity_elsewhere:
--- a/tests/test_event_sequence.py
+++ b/tests/test_event_sequence.py
@@ -25,8 +25,8 @@
 
 
 def test_a_resumed_attempt_repeats_no_event_and_drops_the_partial_one() -> None:
-    # The engine dies within event 3 and the next attempt starts at event 2. The
-    # caller must receive neither a partial event nor event 2 twice.
+    # The engine dies within event 3 and the next attempt starts at event 2.
+    # The caller must receive neither a partial event nor event 2 twice.
     sequence = EventSequence()
     passed = sequence.feed(events(1, 2) + b"id: 3\nda")
     assert sequence.has_partial_event
--- a/tests/test_relay.py
+++ b/tests/test_relay.py
@@ -197,8 +197,8 @@
 
 
 def test_a_stream_resumed_at_a_failing_server_does_not_look_complete() -> None:
-    # A server dies in the middle of a stream and the next one responds with 500.
-    # This used to end the stream as if it were complete.
+    # A server dies in the middle of a stream and the next one responds with
+    # 500, which must not end the stream as if it were complete.
     async def run() -> None:
         first, second = Scripted("s1", dies_after_two_events), Scripted("s2", fails)
         async with entry(first, second) as node:
@@ -268,9 +268,9 @@
 
 
 def test_a_response_begun_before_a_stop_closes_its_connection_at_the_end() -> None:
-    # The response's headers were sent before the stop, without Connection: close.
-    # If the connection stays open, a caller may send another request on it, which
-    # is lost when the process exits.
+    # The response's headers were sent before the stop, without Connection:
+    # close. If the connection stays open, a caller may send another request on
+    # it, which is lost when the process exits.
     async def run() -> None:
         async def half(asked: Asked, writer: asyncio.StreamWriter) -> None:
             writer.write(stream_head(asked) + chunk(event(1)))
@@ -315,8 +315,9 @@
 
 
 def test_a_request_that_all_servers_refuse_does_not_use_up_the_retry_budget() -> None:
-    # While an engine carries out an order, it refuses the requests that the order
-    # affects. Without a limit, one request was sent 22 times in two seconds.
+    # While an engine carries out an order, it refuses the requests that the
+    # order affects. Without a limit, one request was sent 22 times in two
+    # seconds.
     async def run() -> None:
         server = Scripted("s1", refuses)
         async with entry(server) as node:
@@ -328,8 +329,8 @@
 
 
 def test_a_request_waits_for_a_crashed_engine_to_come_back() -> None:
-    # The only engine with the model has crashed, and its entry stays listed for
-    # seconds. Six connections refused within milliseconds must not end the
+    # The only engine with the model has crashed, and its entry stays listed
+    # for seconds. Six connections refused within milliseconds must not end the
     # request, since an engine may have the model a moment later.
     async def run() -> None:
         server = Scripted("s1", streams)
@@ -348,9 +349,9 @@
 
 def test_a_planned_stop_refuses_requests_that_wait_for_a_server() -> None:
     # No engine has the model and the entry VM is stopping. A request that kept
-    # waiting would be cut at the end of the grace period; refused without having
-    # run, it can be served by another VM. The long timeouts ensure that only the
-    # stop can end the wait.
+    # waiting would be cut at the end of the grace period; refused without
+    # having run, it can be served by another VM. The long timeouts ensure that
+    # only the stop can end the wait.
     async def run() -> None:
         patient = replace(a_route(timeout_s=600.0), target_latency_s=100.0)
         async with entry(route=patient) as node, asyncio.timeout(10):
@@ -368,9 +369,10 @@
 
 def test_a_planned_stop_lets_a_begun_stream_resume_elsewhere() -> None:
     # A stream breaks off at its server during a planned stop and no server is
-    # available at that moment. The refusal of waiting requests after the stop's
-    # notice is meant for requests that were never sent, and must not cut it. This
-    # is the unproved explanation of a stream cut once, 3.6 s into a planned stop.
+    # available at that moment. The refusal of waiting requests after the
+    # stop's notice is meant for requests that were never sent, and must not
+    # cut it. This is the unproved explanation of a stream cut once, 3.6 s into
+    # a planned stop.
     async def run() -> None:
         asked_before: list[Asked] = []
 
@@ -413,8 +415,8 @@
 def test_the_log_of_an_unrouted_request_names_the_configuration(
     head: str, view: ConfigurationView, status: int, code: str
 ) -> None:
-    # A request whose route only a newer configuration declares got a 404, and the
-    # log did not show which configuration was in force.
+    # A request whose route only a newer configuration declares may get a 404,
+    # and the log must show which configuration was in force.
     async def run() -> None:
         servers = Scripted("s1", answers)
         async with entry(servers, configuration=lambda: view) as node:
@@ -465,8 +467,8 @@
 
 
 def test_the_log_of_a_response_names_the_configuration_that_routed_it() -> None:
-    # Otherwise it can't be determined whether an outdated configuration caused a
-    # wrong response.
+    # Otherwise it can't be determined whether an outdated configuration caused
+    # a wrong response.
     records = RequestRecords(EntryMetrics(), clock=SystemClock())
 
     async def run() -> None:
@@ -485,6 +487,6 @@
 
 
 def test_an_unknown_configuration_age_is_logged_as_a_finite_number() -> None:
-    # JSON has no infinity, which parsers of the log would reject.
+    # JSON has no infinity, and 1e9 s would be read as a real age.
     fields = ConfigurationView(age_s=float("inf")).log_fields
     assert fields["configuration_age_s"] == NEVER_S
--- a/tests/test_retry_policy.py
+++ b/tests/test_retry_policy.py
@@ -55,8 +55,8 @@
 
 
 def test_a_begun_stream_waits_for_the_retry_budget() -> None:
-    # The stream's engine dies while the retry budget is spent. The window frees a
-    # retry within the seconds that are left.
+    # The stream's engine dies while the retry budget is spent. The window
+    # frees a retry within the seconds that are left.
     async def play() -> None:
         dying, spare = Engine("e1", breaks), Engine("e2", goes_on)
         site = a_site(dying, repeats=1, window_s=4.0)
@@ -95,9 +95,9 @@
 
 
 def test_a_stream_that_may_have_run_waits_for_the_retry_budget() -> None:
-    # The stream used the last retry to leave an engine that sent nothing, and the
-    # next engine refuses it. Its caller would wait longer but does not retry after
-    # a failure, so a 502 would lose the request.
+    # The stream used the last retry to leave an engine that sent nothing, and
+    # the next engine refuses it. Its caller would wait longer but does not
+    # retry after a failure, so a 502 would lose the request.
     async def play() -> None:
         does = in_turn(never_answers, refuses, goes_on)
         route = replace(a_route(timeout_s=20.0), target_latency_s=4.0)
@@ -110,8 +110,9 @@
 
 
 def test_a_stream_that_may_have_run_waits_for_an_engine() -> None:
-    # The same with a short first-event target: by the time a retry is available,
-    # the time that a stream that was never sent may wait for an engine is over.
+    # The same with a short first-event target: by the time a retry is
+    # available, the time that a stream that was never sent may wait for an
+    # engine is over.
     async def play() -> None:
         does = in_turn(never_answers, refuses, goes_on)
         route = replace(a_route(timeout_s=20.0), target_latency_s=0.4)
@@ -124,8 +125,8 @@
 
 
 def test_a_stream_leaves_a_silent_engine_after_five_refusals() -> None:
-    # The sixth engine is dead. Refusals don't end a stream that may have run, so
-    # they must not make it stay with a dead engine either.
+    # The sixth engine is dead. Refusals don't end a stream that may have run,
+    # so they must not make it stay with a dead engine either.
     async def play() -> None:
         does = in_turn(*[refuses] * 5, never_answers, goes_on)
         site = a_site(*all_do(8, does), repeats=60)
@@ -137,7 +138,8 @@
 
 
 def test_an_idempotent_request_returns_to_a_server_it_left() -> None:
-    # The other server refused the request. A 503 would state that it did not run.
+    # The other server refused the request. A 503 would state that it did not
+    # run.
     async def play() -> None:
         does = in_turn(answers_late, refuses, answers_soon)
         site = a_site(*all_do(2, does), route=a_look_up_route())
@@ -149,7 +151,8 @@
 
 
 def test_a_request_that_may_have_run_is_not_refused_as_not_run() -> None:
-    # The request left a silent server, and all others refuse it until its deadline.
+    # The request left a silent server, and all others refuse it until its
+    # deadline.
     async def play() -> None:
         does = in_turn(never_answers, refuses)
         site = a_site(*all_do(2, does), route=a_look_up_route())
@@ -161,8 +164,8 @@
 
 
 def test_an_error_response_of_the_only_server_is_passed_on() -> None:
-    # No other server is left, and the server's own response is more specific than
-    # a refusal.
+    # No other server is left, and the server's own response is more specific
+    # than a refusal.
     async def play() -> None:
         only = Engine("s1", lambda asked: [(0.01, answer(asked, 500, b"why"))])
         site = a_site(only, route=a_look_up_route())
@@ -174,9 +177,9 @@
 
 
 def test_retries_count_in_the_window_in_which_they_are_sent() -> None:
-    # Two streams lose their engines four seconds apart, with one retry allowed in
-    # four seconds. Both wait for an engine. If retries counted when reserved, both
-    # would be sent at once when it comes up.
+    # Two streams lose their engines four seconds apart, with one retry allowed
+    # in four seconds. Both wait for an engine. If retries counted when
+    # reserved, both would be sent at once when it comes up.
     async def play() -> None:
         spare = Engine("e2", goes_on)
         site = a_site(Engine("e1", breaks), repeats=1, window_s=4.0)
--- a/tests/test_retry_window.py
+++ b/tests/test_retry_window.py
@@ -23,7 +23,8 @@
 
 @given(st.lists(st.integers(0, 40), min_size=4, max_size=4))
 def test_all_vms_together_stay_within_the_budget(requests: list[int]) -> None:
-    # The service fails for all VMs at once, and each sends all allowed retries.
+    # The service fails for all VMs at once, and each sends all allowed
+    # retries.
     clock = ManualClock()
     spent = 0
     for count in requests:
@@ -102,10 +103,11 @@
 
 
 def test_retries_stay_within_the_budget_as_a_burst_ends() -> None:
-    # Traffic doubles for ten seconds, and at its end all servers are full. If the
-    # allowance depended on the previous ten seconds, it would reflect the burst
-    # alone, while a window that starts with the retries, and each window that may
-    # set its budget, extend past the burst: too many retries would be sent.
+    # Traffic doubles for ten seconds, and at its end all servers are full. If
+    # the allowance depended on the previous ten seconds, it would reflect the
+    # burst alone, while a window that starts with the retries, and each window
+    # that may set its budget, extend past the burst: too many retries would be
+    # sent.
     phases = [
         TrafficPhase(12.0, 97.0, False),
         TrafficPhase(9.0, 214.0, False),
@@ -117,9 +119,9 @@
 
 
 def test_retries_stay_within_the_budget_as_callers_move_to_other_vms() -> None:
-    # Callers move from some VMs to others, and all are rejected. If each VM used
-    # the requests of its own last ten seconds, a window that spans the move would
-    # contain the retries of twice the requests received.
+    # Callers move from some VMs to others, and all are rejected. If each VM
+    # used the requests of its own last ten seconds, a window that spans the
+    # move would contain the retries of twice the requests received.
     phases = [
         TrafficPhase(12.0, 200.0, False, first=0, vms=4),
         TrafficPhase(2.0, 200.0, True, first=0, vms=4),
@@ -151,7 +153,8 @@
 
 
 def test_the_budget_is_fully_available_under_steady_traffic() -> None:
-    # A limit that is too strict wastes the budget of a retry per five requests.
+    # A limit that is too strict wastes the budget of a retry per five
+    # requests.
     clock = ManualClock()
     window = RetryWindow(clock=clock, ratio=RATIO, slack=0.0, window_s=WINDOW_S)
     spent = 0
--- a/tests/test_server_notices.py
+++ b/tests/test_server_notices.py
@@ -47,7 +47,8 @@
 # Requests already in flight may still arrive this long after a rejection.
 BACKOFF_GRACE_S = 0.5
 RETRY_AFTER_S = 3.0
-# Limit of the requests that reach a server after that and before its backoff ends.
+# Limit of the requests that reach a server after that and before its backoff
+# ends.
 SENDS_IN_BACKOFF = 2
 
 Scenario = Callable[[OutspokenWorld], Awaitable[None]]
@@ -61,7 +62,7 @@
     servers: int = 4,
     seed: int = 7,
 ) -> list[float]:
-    """Return the delays after Server-Leaving at which requests still arrived."""
+    """Return how long after Server-Leaving requests still arrived."""
     vms, drain_s, contact_s = size
     world = OutspokenWorld(
         drain_s=drain_s, contact_s=contact_s, rng=random.Random(seed)
@@ -78,8 +79,8 @@
     return sorted(world.late_after_s, reverse=True)[:5]
 
 
-# Guards against relying on the store alone, which may list a leaving server for
-# much longer.
+# Guards against relying on the store alone, which may list a leaving server
+# for much longer.
 @sizes
 def test_a_server_that_sends_leaving_gets_no_requests_before_the_store_lists_it(
     monkeypatch: pytest.MonkeyPatch, size: tuple[int, float, float]
@@ -91,8 +92,8 @@
     assert late_sends(monkeypatch, size, scenario) == []
 
 
-# Guards against an entry that expired in an outage and is restored in its state
-# before the leave overriding the server's own notice.
+# Guards against an entry that expired in an outage and is restored in its
+# state before the leave overriding the server's own notice.
 @sizes
 def test_a_restored_entry_does_not_override_the_leaving_notice(
     monkeypatch: pytest.MonkeyPatch, size: tuple[int, float, float]
@@ -109,9 +110,9 @@
     assert late_sends(monkeypatch, size, scenario) == []
 
 
-# Guards against combined failures: an unavailable store, one that rejects VMs or
-# loses its history, expired entries and lost peer messages, while only responses
-# announce that servers leave.
+# Guards against combined failures: an unavailable store, one that rejects VMs
+# or loses its history, expired entries and lost peer messages, while only
+# responses announce that servers leave.
 @pytest.mark.parametrize("seed", SEEDS)
 def test_leaving_notices_hold_under_random_failures(
     monkeypatch: pytest.MonkeyPatch, seed: int
@@ -205,7 +206,8 @@
     run(play_site)
 
 
-# Guards against callers waiting until their deadline for a backoff that ends later.
+# Guards against callers waiting until their deadline for a backoff that ends
+# later.
 def test_a_request_whose_deadline_precedes_the_backoffs_end_is_refused_at_once() -> (
     None
 ):
@@ -243,8 +245,8 @@
     run(play_site)
 
 
-# Guards against a request waiting for a server that sheds load while another is
-# available.
+# Guards against a request waiting for a server that sheds load while another
+# is available.
 def test_a_request_goes_to_another_engine_while_one_sheds_load() -> None:
     async def play_site() -> None:
         shedding, other = Engine("e1", sheds), Engine("e2", goes_on)
@@ -257,8 +259,8 @@
     run(play_site)
 
 
-# Guards against the holder of the placement lease ignoring notices in responses to
-# its orders and report requests.
+# Guards against the holder of the placement lease ignoring notices in
+# responses to its orders and report requests.
 @pytest.mark.parametrize("status", [200, 202, 409, 503])
 def test_leaving_notices_are_read_from_responses_to_orders_and_reports(
     status: int,
@@ -290,8 +292,8 @@
     assert heard == [("e1", ServerNotice(leaving=True))] * 2
 
 
-# Guards against attributing a notice to a server whose address another server now
-# has.
+# Guards against attributing a notice to a server whose address another server
+# now has.
 def test_a_misdirected_response_carries_no_notice_for_the_intended_server() -> None:
     assert read_notice(421, HTTPHeaders({"Server-Leaving": "1"})) == NO_NOTICE
 
@@ -362,8 +364,8 @@
         return sheds(asked, retry_after_s=retry_after_s)
 
 
-# Guards against requests oscillating between servers when several back off at the
-# same time.
+# Guards against requests oscillating between servers when several back off at
+# the same time.
 @pytest.mark.parametrize("seed", SEEDS)
 def test_random_backoffs_are_respected(seed: int) -> None:
     async def play_site() -> None:
--- a/tests/test_silent_servers.py
+++ b/tests/test_silent_servers.py
@@ -1,8 +1,9 @@
 """When a request leaves a silent server.
 
 A full engine preempts requests for seconds while it serves others; a dead one
-sends nothing at all. A request that leaves before a retry and capacity elsewhere
-are certain is lost to its caller, even if its server would have resumed it.
+sends nothing at all. A request that leaves before a retry and capacity
+elsewhere are certain is lost to its caller, even if its server would have
+resumed it.
 """
 
 import asyncio
@@ -43,9 +44,9 @@
 
 def test_a_stream_stays_when_the_retry_budget_is_spent() -> None:
     # A loaded engine preempts a stream for seconds. If the entry VM ends the
-    # exchange before it checks the retry budget, the caller's connection is closed
-    # in the middle of the stream, although the engine would have resumed it well
-    # before the deadline.
+    # exchange before it checks the retry budget, the caller's connection is
+    # closed in the middle of the stream, although the engine would have
+    # resumed it well before the deadline.
     async def play() -> None:
         engines = Engine("e1", sets_aside), Engine("e2", sets_aside)
         site = a_site(*engines, repeats=0)
@@ -58,8 +59,8 @@
 
 
 def test_a_stream_stays_when_no_other_engine_has_a_free_slot() -> None:
-    # A retry is available, but all slots elsewhere are taken. Other engines would
-    # refuse the stream repeatedly until it is cut.
+    # A retry is available, but all slots elsewhere are taken. Other engines
+    # would refuse the stream repeatedly until it is cut.
     async def play() -> None:
         engines = Engine("e1", sets_aside), Engine("e2", refuses)
         site = a_site(*engines)
@@ -74,8 +75,8 @@
 
 def test_a_stream_stays_with_an_engine_that_serves_others() -> None:
     # The engine is full, not dead, as its other streams progress. Moving would
-    # cost a retry and another prefill of the prompt. The route has a long timeout,
-    # as batch work has.
+    # cost a retry and another prefill of the prompt. The route has a long
+    # timeout, as batch work has.
     async def play() -> None:
         engine = Engine("e1", only_first_is_set_aside)
         route = replace(a_route(timeout_s=20.0), target_latency_s=4.0)
@@ -93,8 +94,9 @@
 
 
 def test_a_stream_leaves_an_engine_that_sends_nothing_to_anyone() -> None:
-    # The connection stays open, but the engine sends nothing on any connection.
-    # The stream resumes after its last event at another engine with a free slot.
+    # The connection stays open, but the engine sends nothing on any
+    # connection. The stream resumes after its last event at another engine
+    # with a free slot.
     async def play() -> None:
         silent, spare = Engine("e1", goes_dark), Engine("e2", goes_on)
         site = a_site(silent)
@@ -127,8 +129,8 @@
 
 
 def test_an_idempotent_request_stays_when_the_retry_budget_is_spent() -> None:
-    # The response takes longer than usual. Ending the exchange without a retry in
-    # reserve turned it into a 502.
+    # The response takes longer than usual. Ending the exchange without a
+    # reserved retry would turn it into a 502.
     async def play() -> None:
         route = a_route(kind=RouteKind.IDEMPOTENT, service="desk", timeout_s=5.0)
         slow = Engine("s1", lambda asked: answers(asked, after_s=1.0))
@@ -142,8 +144,8 @@
 
 
 def test_a_queued_stream_stays_when_the_retry_budget_is_spent() -> None:
-    # The same failure before the first event: the request is queued at its engine
-    # for longer than predicted.
+    # The same failure before the first event: the request is queued at its
+    # engine for longer than predicted.
     async def play() -> None:
         late = Engine("e1", lambda asked: streams(asked, 6.0, until=8))
         site = a_site(late, Engine("e2", refuses), repeats=0)
@@ -156,8 +158,8 @@
 
 
 def test_a_stream_moves_to_an_engine_that_refused_it_before() -> None:
-    # The engine was full and now has a free slot. The earlier refusal must not keep
-    # the stream with an engine that has died since.
+    # The engine was full and now has a free slot. The earlier refusal must not
+    # keep the stream with an engine that has died since.
     for silent, events in ((goes_dark, 2), (never_answers, 0)):
 
         async def play(
@@ -187,8 +189,8 @@
 
 
 def test_a_plain_request_that_names_a_model_leaves_a_silent_server() -> None:
-    # Servers of a plain service hold no models, so a model named by the caller does
-    # not restrict the choice of server.
+    # Servers of a plain service hold no models, so a model named by the caller
+    # does not restrict the choice of server.
     async def play() -> None:
         does = in_turn(never_answers, answers_soon)
         site = a_site(*all_do(2, does), route=a_look_up_route())
@@ -223,8 +225,8 @@
 
 
 def test_a_request_that_all_other_servers_refused_stays_with_a_slow_one() -> None:
-    # Five servers refuse, the sixth is slow. Leaving it for its silence would take a
-    # retry, only to find that the limit of attempts is reached.
+    # Five servers refuse, the sixth is slow. Leaving it for its silence would
+    # take a retry, only to find that the limit of attempts is reached.
     async def play() -> None:
         late = in_turn(*[refuses] * 5, answers_late, answers_soon)
         site = a_site(*all_do(8, late), repeats=60, route=a_look_up_route())
--- a/tests/test_stream_pauses.py
+++ b/tests/test_stream_pauses.py
@@ -60,9 +60,9 @@
 
 
 def test_a_stream_on_its_last_attempt_does_not_time_out_for_silence() -> None:
-    # Under load, two engines in turn pause for 0.7 s, and the route allows no third
-    # attempt. A stall timeout would cut the stream without a response or refusal,
-    # although the second engine still works on it.
+    # Under load, two engines in turn pause for 0.7 s, and the route allows no
+    # third attempt. A stall timeout would cut the stream without a response or
+    # refusal, although the second engine still works on it.
     clock = ManualClock()
     again = a_context(
         Evidence.ANSWER_BEGUN, clock=clock, max_attempts=2, resumable=True
