--- a/tests/test_retry_window.py
+++ b/tests/test_retry_window.py
@@ -1,4 +1,4 @@
-"""The parts of the retry budget add up to no more than the whole."""
+"""The retries of all VMs together stay within the retry budget."""
 
 from bisect import bisect_left
 from typing import NamedTuple
@@ -10,11 +10,11 @@
 
 
 def spend(window: RetryWindow) -> bool:
-    """Make a repeat at once, if one is left."""
-    held = window.hold()
-    if held:
-        window.send()
-    return held
+    """Reserve and send a retry, if one is available."""
+    reserved = window.reserve()
+    if reserved:
+        window.consume()
+    return reserved
 
 
 def a_window(clock: ManualClock, *, vms: int = 4) -> RetryWindow:
@@ -22,8 +22,9 @@
 
 
 @given(st.lists(st.integers(0, 40), min_size=4, max_size=4))
-def test_all_parts_together_keep_to_the_budget(requests: list[int]) -> None:
-    # Every VM meets a failing service at once and repeats all that it may.
+def test_all_vms_together_stay_within_the_budget(requests: list[int]) -> None:
+    # The service fails for all VMs at once, and each sends all allowed
+    # retries.
     clock = ManualClock()
     spent = 0
     for count in requests:
@@ -34,7 +35,7 @@
     assert spent <= 0.2 * sum(requests) + 50.0
 
 
-def test_what_was_spent_comes_back_after_the_window() -> None:
+def test_spent_retries_are_available_again_after_the_window() -> None:
     clock = ManualClock()
     window = a_window(clock)
     while spend(window):
@@ -47,25 +48,25 @@
 STEP_S = 0.25
 
 
-class Part(NamedTuple):
-    """Hold a part of a day: its requests, and whether they are turned away.
+class TrafficPhase(NamedTuple):
+    """Describe a phase of traffic, and whether servers reject its requests.
 
-    They come to `vms` of the entry VMs, from the number `first` on.
+    The requests reach `vms` of the entry VMs, starting with number `first`.
     """
 
-    lasts_s: float
+    duration_s: float
     rate_per_s: float
-    turned_away: bool
+    rejected: bool
     first: int = 0
     vms: int = 9
 
 
-def overspent(parts: list[Part], *, vms: int) -> float:
-    """Return by how much repeats exceed the budget in the worst window.
+def max_overspend(phases: list[TrafficPhase], *, vms: int) -> float:
+    """Return by how much retries exceed the budget in the worst window.
 
-    Where requests are turned away, every VM repeats all that it may. A window's
-    requests are those in it, in the one before, or in the one half a window
-    before, whichever are most.
+    In rejected phases, every VM sends all allowed retries. The requests of a
+    window are those in it, in the previous one or in the one half a window
+    earlier, whichever are most.
     """
     clock = ManualClock()
     windows = [
@@ -73,20 +74,20 @@
         for _ in range(vms)
     ]
     requests: list[float] = []
-    repeats: list[float] = []
-    owed = 0.0
-    for part in parts:
-        for _ in range(int(part.lasts_s / STEP_S)):
+    retries: list[float] = []
+    fractional_requests = 0.0
+    for phase in phases:
+        for _ in range(int(phase.duration_s / STEP_S)):
             clock.advance(STEP_S)
-            owed += part.rate_per_s * STEP_S
-            while owed >= 1.0:
-                owed -= 1.0
-                place = part.first + len(requests) % min(vms, part.vms)
+            fractional_requests += phase.rate_per_s * STEP_S
+            while fractional_requests >= 1.0:
+                fractional_requests -= 1.0
+                place = phase.first + len(requests) % min(vms, phase.vms)
                 windows[place % vms].note_request()
                 requests.append(clock.monotonic_s())
-            for window in windows if part.turned_away else ():
+            for window in windows if phase.rejected else ():
                 while spend(window):
-                    repeats.append(clock.monotonic_s())
+                    retries.append(clock.monotonic_s())
 
     def count(times: list[float], start_s: float) -> int:
         return bisect_left(times, start_s + WINDOW_S) - bisect_left(times, start_s)
@@ -96,44 +97,45 @@
         return RATIO * max(count(requests, start) for start in starts) + SLACK
 
     return max(
-        (count(repeats, start_s) - budget(start_s) for start_s in sorted(set(repeats))),
+        (count(retries, start_s) - budget(start_s) for start_s in sorted(set(retries))),
         default=0.0,
     )
 
 
-def test_repeats_keep_to_the_budget_as_a_burst_ends() -> None:
-    # Twice the traffic for ten seconds; at its end all servers are full and turn
-    # requests away. Repeats that go by the requests of the ten seconds before go by
-    # the burst alone; a window that begins with them reaches beyond it, and so does
-    # each by which its budget may be counted: the service gets too many.
-    parts = [
-        Part(12.0, 97.0, False),
-        Part(9.0, 214.0, False),
-        Part(1.0, 214.0, True),
-        Part(20.0, 97.0, True),
+def test_retries_stay_within_the_budget_as_a_burst_ends() -> None:
+    # Traffic doubles for ten seconds, and at its end all servers are full. If
+    # the allowance depended on the previous ten seconds, it would reflect the
+    # burst alone, while a window that starts with the retries, and each window
+    # that may set its budget, extend past the burst: too many retries would be
+    # sent.
+    phases = [
+        TrafficPhase(12.0, 97.0, False),
+        TrafficPhase(9.0, 214.0, False),
+        TrafficPhase(1.0, 214.0, True),
+        TrafficPhase(20.0, 97.0, True),
     ]
     for vms in (1, 9):
-        assert overspent(parts, vms=vms) <= 0
-
-
-def test_repeats_keep_to_the_budget_as_callers_move_to_other_vms() -> None:
-    # Callers of some VMs come to others, and all are turned away. Where each VM
-    # counts the requests of its own last ten seconds, a window over both sees the
-    # repeats of twice the requests that came.
-    parts = [
-        Part(12.0, 200.0, False, first=0, vms=4),
-        Part(2.0, 200.0, True, first=0, vms=4),
-        Part(8.0, 200.0, False, first=4, vms=4),
-        Part(2.0, 200.0, True, first=4, vms=4),
+        assert max_overspend(phases, vms=vms) <= 0
+
+
+def test_retries_stay_within_the_budget_as_callers_move_to_other_vms() -> None:
+    # Callers move from some VMs to others, and all are rejected. If each VM
+    # used the requests of its own last ten seconds, a window that spans the
+    # move would contain the retries of twice the requests received.
+    phases = [
+        TrafficPhase(12.0, 200.0, False, first=0, vms=4),
+        TrafficPhase(2.0, 200.0, True, first=0, vms=4),
+        TrafficPhase(8.0, 200.0, False, first=4, vms=4),
+        TrafficPhase(2.0, 200.0, True, first=4, vms=4),
     ]
-    assert overspent(parts, vms=9) <= 0
+    assert max_overspend(phases, vms=9) <= 0
 
 
 @settings(deadline=None)
 @given(
     st.lists(
         st.builds(
-            Part,
+            TrafficPhase,
             st.floats(0.5, 12.0),
             st.floats(0.0, 300.0),
             st.booleans(),
@@ -144,12 +146,15 @@
     ),
     st.sampled_from((1, 9)),
 )
-def test_repeats_keep_to_the_budget_whatever_comes(parts: list[Part], vms: int) -> None:
-    assert overspent(parts, vms=vms) <= 0
+def test_retries_stay_within_the_budget_for_any_traffic(
+    phases: list[TrafficPhase], vms: int
+) -> None:
+    assert max_overspend(phases, vms=vms) <= 0
 
 
-def test_the_budget_is_used_in_full_while_traffic_is_steady() -> None:
-    # What is not spent serves nobody: a fifth of the requests may be repeated.
+def test_the_budget_is_fully_available_under_steady_traffic() -> None:
+    # A limit that is too strict wastes the budget of a retry per five
+    # requests.
     clock = ManualClock()
     window = RetryWindow(clock=clock, ratio=RATIO, slack=0.0, window_s=WINDOW_S)
     spent = 0
--- a/tests/test_stream_pauses.py
+++ b/tests/test_stream_pauses.py
@@ -1,4 +1,4 @@
-"""How long a stream may stand still before it goes on elsewhere."""
+"""Stall timeouts of streams, by whether another attempt may follow."""
 
 import asyncio
 import math
@@ -8,15 +8,15 @@
 from entry_harness import NoModels
 
 from rosepath.clock import ManualClock
-from rosepath.event_order import EventOrder
+from rosepath.event_sequence import EventSequence
 from rosepath.fleet import Fleet
-from rosepath.next_try import NextTry
 from rosepath.prompt_caches import PromptCaches
 from rosepath.request_context import RelayPorts, RequestContext
 from rosepath.retries import Evidence
+from rosepath.retry_policy import RetryPolicy
 
 
-def a_next_try(clock: ManualClock) -> NextTry:
+def a_retry_policy(clock: ManualClock) -> RetryPolicy:
     ports = RelayPorts(
         data_centre="a",
         clock=clock,
@@ -32,7 +32,7 @@
         on_outcome=lambda *_: None,
         crashes=a_crash_watch(clock),
     )
-    return NextTry(ports, a_picker(ports))
+    return RetryPolicy(ports, a_picker(ports))
 
 
 LEFT_S = 5.0
@@ -48,21 +48,21 @@
         service=catalog.services["llm"],
         exchange=cast(Any, None),
         deadline_s=clock.monotonic_s() + LEFT_S,
-        order=EventOrder(last_id=None),
+        event_sequence=EventSequence(last_id=None),
         seen=list(seen),
     )
 
 
-def test_a_stream_that_can_go_on_elsewhere_leaves_an_engine_that_stands_still() -> None:
+def test_a_stream_that_can_resume_elsewhere_has_a_short_stall_timeout() -> None:
     clock = ManualClock()
     context = a_context(clock=clock, max_attempts=2, resumable=True)
-    assert a_next_try(clock).pause_s(context) < 1.0
+    assert a_retry_policy(clock).stall_timeout_s(context) < 1.0
 
 
-def test_a_stream_on_its_last_try_is_not_broken_off_for_silence() -> None:
-    # Each of two engines stood still for 0.7 s under a crowd. After the second
-    # the route allowed no third: the stream was cut before its caller, who got
-    # neither an answer nor a refusal, while the engine still worked for it.
+def test_a_stream_on_its_last_attempt_does_not_time_out_for_silence() -> None:
+    # Under load, two engines in turn pause for 0.7 s, and the route allows no
+    # third attempt. A stall timeout would cut the stream without a response or
+    # refusal, although the second engine still works on it.
     clock = ManualClock()
     again = a_context(
         Evidence.ANSWER_BEGUN, clock=clock, max_attempts=2, resumable=True
@@ -70,4 +70,4 @@
     once = a_context(clock=clock, max_attempts=1, resumable=True)
     never = a_context(clock=clock, max_attempts=2, resumable=False)
     for context in (again, once, never):
-        assert a_next_try(clock).pause_s(context) > LEFT_S
+        assert a_retry_policy(clock).stall_timeout_s(context) > LEFT_S
