--- a/src/rosepath/demand.py
+++ b/src/rosepath/demand.py
@@ -11,16 +11,16 @@
 WINDOW_S = 5.0
 # Where demand moves to, a shorter window shows it sooner; it is discounted, as
 # a few requests more in it may be chance.
-FRESH_WINDOW_S = 2.0
-FRESH_DISCOUNT = 0.8
+RECENT_WINDOW_S = 2.0
+RECENT_LOAD_DISCOUNT = 0.8
 # Of those who wait, nobody knows yet what an engine will have to read.
-WAITING_WORK_S = 0.12
+WAITING_REQUEST_PREFILL_S = 0.12
 # Requests a second behind each engine-second of reading a second, where a VM
 # tells of no requests.
 REQUESTS_PER_LOAD = 8.0
 # Tokens are written for all running requests at once; prompts are read one
 # after the other.
-READ_S_PER_TOKEN = 1 / 38_000
+PREFILL_S_PER_TOKEN = 1 / 38_000
 
 
 @dataclass(frozen=True, slots=True)
@@ -41,11 +41,11 @@
     @property
     def expected_load(self) -> float:
         """Return the load to plan for, of those who wait too."""
-        waiting = self.waiting * WAITING_WORK_S / FRESH_WINDOW_S
-        return max(self.load, FRESH_DISCOUNT * (self.fresh_load + waiting))
+        waiting = self.waiting * WAITING_REQUEST_PREFILL_S / RECENT_WINDOW_S
+        return max(self.load, RECENT_LOAD_DISCOUNT * (self.fresh_load + waiting))
 
     @property
-    def expected_per_s(self) -> float:
+    def expected_requests_per_s(self) -> float:
         """Return the requests a second to plan for."""
         if self.asked_per_s <= 0 or self.load <= 0:
             return max(self.asked_per_s, REQUESTS_PER_LOAD * self.expected_load)
@@ -74,7 +74,7 @@
         self, service: str, prompt: Prompt, *, unread_tokens: int, now_s: float
     ) -> None:
         """Note a request and what of its prompt an engine has to read."""
-        work_s = unread_tokens * READ_S_PER_TOKEN
+        work_s = unread_tokens * PREFILL_S_PER_TOKEN
         window = self._windows.setdefault((service, prompt.model), _Window())
         window.work.append((now_s, work_s, prompt.adapter))
 
@@ -97,13 +97,15 @@
             while window.asked_s and window.asked_s[0] < now_s - WINDOW_S:
                 window.asked_s.popleft()
             if name == service and (window.work or window.waiting or window.asked_s):
-                fresh_s = now_s - FRESH_WINDOW_S
-                fresh = sum(work_s for at_s, work_s, _ in window.work if at_s > fresh_s)
+                recent_from_s = now_s - RECENT_WINDOW_S
+                recent = sum(
+                    work_s for at_s, work_s, _ in window.work if at_s > recent_from_s
+                )
                 demands[model] = ModelDemand(
                     sum(work_s for _, work_s, _ in window.work) / WINDOW_S,
                     window.waiting,
                     frozenset(adapter for _, _, adapter in window.work if adapter),
-                    fresh / FRESH_WINDOW_S,
+                    recent / RECENT_WINDOW_S,
                     len(window.asked_s) / WINDOW_S,
                 )
         return demands
--- a/src/rosepath/demand_history.py
+++ b/src/rosepath/demand_history.py
@@ -7,7 +7,7 @@
 
 # A plan that comes later than this after the one before begins anew: the
 # lease was elsewhere meanwhile.
-GAP_MAX_S = 2.0
+MAX_UPDATE_GAP_S = 2.0
 
 
 @dataclass(slots=True, kw_only=True)
@@ -19,7 +19,7 @@
     """
 
     owed: dict[str, float] = field(default_factory=dict)
-    _noted_s: float | None = None
+    _updated_s: float | None = None
 
     def note(
         self,
@@ -29,9 +29,9 @@
         now_s: float,
     ) -> None:
         """Take in the demand of this moment, and which models have a copy."""
-        since_s = 0.0 if self._noted_s is None else now_s - self._noted_s
-        self._noted_s = now_s
-        if since_s > GAP_MAX_S:
+        elapsed_s = 0.0 if self._updated_s is None else now_s - self._updated_s
+        self._updated_s = now_s
+        if elapsed_s > MAX_UPDATE_GAP_S:
             self.owed.clear()
             return
         for model in list(self.owed):
@@ -39,5 +39,5 @@
                 del self.owed[model]
         for model, demand in demands.items():
             if model not in held:
-                more = demand.asked_per_s * since_s
+                more = demand.asked_per_s * elapsed_s
                 self.owed[model] = self.owed.get(model, 0.0) + more
--- a/src/rosepath/engine_books.py
+++ b/src/rosepath/engine_books.py
@@ -1,7 +1,7 @@
-"""Who holds which models, and what that puts on each engine.
+"""Model replicas and engine workloads as the planner assumes them.
 
-Entries of one plan: swaps are booked as if they were done, so that the next is
-chosen with what the ones before it change.
+Each planned swap is applied as if it were complete, so that the next one is
+chosen from the resulting state.
 """
 
 from collections import Counter
@@ -10,35 +10,37 @@
 
 from rosepath.catalog import ModelSpec
 from rosepath.demand import ModelDemand
-from rosepath.engine_strain import EngineLimits, Work, late_per_s
+from rosepath.engine_strain import EngineLimits, Workload, late_per_s
 
-# What a swap gains or loses a second counts for this long.
+# Period over which the gain or loss per second of a swap is counted.
 HORIZON_S = 6.0
-# A model that nobody holds: lost of those who ask, and of those who might
-# begin to, as busy models change every few seconds.
-ABSENT_IDLE_PER_S = 0.5
-ABSENT_ASKED_PER_S = 1.0
-ABSENT_WAITING_PER_S = 1.0
-ABSENT_TIMES = 2.0
-# An unload waits for the running requests of its model, and its engine takes
+# Requests per second lost while no engine holds a model: for a model without
+# demand, as busy models change every few seconds; for one with demand; per
+# waiting request; and per request per second.
+ABSENT_IDLE_LOSS_PER_S = 0.5
+ABSENT_REQUESTED_LOSS_PER_S = 1.0
+ABSENT_WAITING_LOSS_PER_S = 1.0
+ABSENT_LOSS_PER_REQUEST = 2.0
+# An unload waits for the running requests of its model, and the engine accepts
 # no other order until they end.
-IN_USE = 2.5
-# What was loaded lately is not taken away again for a small gain.
-FRESH_S = 4.0
-FRESH = 3.0
+IN_USE_UNLOAD_COST = 2.5
+# A recently loaded model is not unloaded again for a small gain.
+RECENT_LOAD_S = 4.0
+RECENT_LOAD_UNLOAD_COST = 3.0
 
-NOTHING_OWED: Mapping[str, float] = {}
-NO_WORK = Work()
+NO_UNSERVED_REQUESTS: Mapping[str, float] = {}
+NO_WORKLOAD = Workload()
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class EngineView:
-    """Hold an engine as the plan sees it.
+    """Describe an engine as input for the planner.
 
     `age_s` maps the models it holds to the seconds since they were loaded,
     `near` those that it can load without the weight store to the seconds that
-    takes; `coming` is the model it loads now, `adapters` those it has, as
-    `model/adapter`; `settled` is False while an order is in progress.
+    this takes; `coming` is the model it is loading, `adapters` holds its
+    adapters as `model/adapter`; `settled` is False while an order is in
+    progress.
     """
 
     name: str
@@ -55,7 +57,7 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class Swap:
-    """Unload some models of an engine, if need be, and load another."""
+    """Unload models from an engine, if necessary, and load another."""
 
     engine: str
     model: str
@@ -65,19 +67,19 @@
 
 
 @dataclass(slots=True, kw_only=True)
-class Books:
-    """Hold who holds what, and what that puts on each engine."""
+class PlanState:
+    """Own the model replicas and the workload of each engine during one plan."""
 
     engines: Mapping[str, EngineView]
     models: Mapping[str, ModelSpec]
     demands: Mapping[str, ModelDemand]
     limits: EngineLimits
     owed: Mapping[str, float]
-    copies: dict[str, set[str]]
+    replicas: dict[str, set[str]]
     held: dict[str, set[str]]
-    asked: dict[str, Work] = field(default_factory=dict)
-    work: dict[str, Work] = field(default_factory=dict)
-    _losses: dict[str, list[tuple[float, str]]] = field(default_factory=dict)
+    workload_by_model: dict[str, Workload] = field(default_factory=dict)
+    workload_by_engine: dict[str, Workload] = field(default_factory=dict)
+    _unload_costs: dict[str, list[tuple[float, str]]] = field(default_factory=dict)
 
     @classmethod
     def from_views(
@@ -88,14 +90,14 @@
         *,
         limits: EngineLimits,
         owed: Mapping[str, float],
-    ) -> "Books":
-        books = cls(
+    ) -> "PlanState":
+        state = cls(
             engines={engine.name: engine for engine in engines},
             models=models,
             demands=demands,
             limits=limits,
             owed=owed,
-            copies={model: set() for model in models},
+            replicas={model: set() for model in models},
             held={
                 engine.name: set(engine.age_s) | ({engine.coming} - {""})
                 for engine in engines
@@ -105,107 +107,123 @@
         for engine in engines:
             running.update(engine.in_use)
         for model, demand in demands.items():
-            books.asked[model] = Work(
-                read=demand.expected_load,
-                asked_per_s=demand.expected_per_s,
+            state.workload_by_model[model] = Workload(
+                prefill_share=demand.expected_load,
+                asked_per_s=demand.expected_requests_per_s,
                 running=running[model],
                 adapters=len(demand.adapters),
             )
-        for name, held in books.held.items():
+        for name, held in state.held.items():
             for model in held:
-                books.copies.setdefault(model, set()).add(name)
-        books._reckon(books.engines)
-        return books
+                state.replicas.setdefault(model, set()).add(name)
+        state._recompute_workloads(state.engines)
+        return state
 
     def apply(self, swap: Swap) -> None:
-        """Reckon with a swap as if it were done."""
+        """Update the state as if a swap were complete."""
         touched = {swap.engine}
         for model in swap.victims:
-            touched |= self.copies[model]
-            self.copies[model].discard(swap.engine)
+            touched |= self.replicas[model]
+            self.replicas[model].discard(swap.engine)
             self.held[swap.engine].discard(model)
-        self.copies[swap.model].add(swap.engine)
+        self.replicas[swap.model].add(swap.engine)
         self.held[swap.engine].add(swap.model)
-        self._reckon(touched | self.copies[swap.model])
+        self._recompute_workloads(touched | self.replicas[swap.model])
 
-    def _reckon(self, engines: Iterable[str]) -> None:
+    def _recompute_workloads(self, engines: Iterable[str]) -> None:
         for name in engines:
-            work = NO_WORK
+            workload = NO_WORKLOAD
             for model in self.held[name]:
-                work = work.plus(self.share(model, len(self.copies[model])))
-            self.work[name] = work
-        self._losses.clear()
-
-    def share(self, model: str, copies: int) -> Work:
-        """Return what each of so many copies takes of a model's work."""
-        asked = self.asked.get(model)
-        if asked is None or not copies:
-            return NO_WORK
-        return NO_WORK.plus(asked, times=1 / copies)
-
-    def strain_of(
-        self, engine: str, *, less: Work = NO_WORK, more: Work = NO_WORK
+                workload = workload.plus(
+                    self.replica_workload(model, len(self.replicas[model]))
+                )
+            self.workload_by_engine[name] = workload
+        self._unload_costs.clear()
+
+    def replica_workload(self, model: str, replicas: int) -> Workload:
+        """Return the workload of each replica if a model has this many."""
+        workload = self.workload_by_model.get(model)
+        if workload is None or not replicas:
+            return NO_WORKLOAD
+        return NO_WORKLOAD.plus(workload, times=1 / replicas)
+
+    def late_per_s_on(
+        self,
+        engine: str,
+        *,
+        removed: Workload = NO_WORKLOAD,
+        added: Workload = NO_WORKLOAD,
     ) -> float:
-        """Return an engine's strain with some work taken off it or added."""
-        work = self.work[engine].plus(less, times=-1.0).plus(more)
-        return late_per_s(work, self.limits)
+        """Return an engine's late requests per second after a change of workload."""
+        workload = self.workload_by_engine[engine].plus(removed, times=-1.0).plus(added)
+        return late_per_s(workload, self.limits)
 
-    def missing(self, engine: EngineView) -> float:
-        """Return the adapters asked for that an engine has room for and not has."""
-        missing, there = 0.0, 0
+    def missing_adapters(self, engine: EngineView) -> float:
+        """Return the requested adapters that an engine lacks and has slots for."""
+        missing_adapters, there = 0.0, 0
         for model in self.held[engine.name]:
             demand = self.demands.get(model)
             for adapter in demand.adapters if demand else ():
                 if f"{model}/{adapter}" in engine.adapters:
                     there += 1
                 else:
-                    missing += 1 / len(self.copies[model])
-        return min(missing, max(0, self.limits.adapter_slots - there))
+                    missing_adapters += 1 / len(self.replicas[model])
+        return min(missing_adapters, max(0, self.limits.adapter_slots - there))
 
-    def absent(self, model: str) -> float:
-        """Return what is lost a second while nobody holds a model."""
+    def loss_without_replica(self, model: str) -> float:
+        """Return the requests lost per second while no engine holds a model."""
         demand = self.demands.get(model)
         if demand is None:
-            return ABSENT_IDLE_PER_S
-        waiting = ABSENT_WAITING_PER_S * demand.waiting
-        return ABSENT_ASKED_PER_S + waiting + ABSENT_TIMES * demand.expected_per_s
-
-    def value(self, model: str) -> float:
-        """Return what one more copy takes off those who hold a model."""
-        copies = len(self.copies[model])
-        if not copies:
-            return self.absent(model)
-        return self._shifted(model, self.copies[model], copies, copies + 1)
-
-    def _shifted(
-        self, model: str, holders: Iterable[str], copies: int, then: int
+            return ABSENT_IDLE_LOSS_PER_S
+        waiting = ABSENT_WAITING_LOSS_PER_S * demand.waiting
+        return (
+            ABSENT_REQUESTED_LOSS_PER_S
+            + waiting
+            + ABSENT_LOSS_PER_REQUEST * demand.expected_requests_per_s
+        )
+
+    def replica_gain_per_s(self, model: str) -> float:
+        """Return the late or lost requests per second that one more replica saves."""
+        replicas = len(self.replicas[model])
+        if not replicas:
+            return self.loss_without_replica(model)
+        return self._late_per_s_saved(
+            model, self.replicas[model], replicas, replicas + 1
+        )
+
+    def _late_per_s_saved(
+        self, model: str, holders: Iterable[str], replicas: int, then: int
     ) -> float:
-        """Return how much the holders' strain falls by a change of copies."""
-        if model not in self.asked:
+        """Return the late requests per second that a change in replicas saves."""
+        if model not in self.workload_by_model:
             return 0.0
-        now, later = self.share(model, copies), self.share(model, then)
+        now, later = (
+            self.replica_workload(model, replicas),
+            self.replica_workload(model, then),
+        )
         return sum(
-            self.strain_of(name) - self.strain_of(name, less=now, more=later)
+            self.late_per_s_on(name)
+            - self.late_per_s_on(name, removed=now, added=later)
             for name in holders
         )
 
-    def losses(self, engine: str) -> list[tuple[float, str]]:
-        """Return an engine's models by what their loss costs elsewhere."""
-        if engine not in self._losses:
+    def unload_costs(self, engine: str) -> list[tuple[float, str]]:
+        """Return an engine's models with the cost of unloading each, cheapest first."""
+        if engine not in self._unload_costs:
             view = self.engines[engine]
-            self._losses[engine] = sorted(
-                (self._loss(view, model), model) for model in view.age_s
+            self._unload_costs[engine] = sorted(
+                (self._unload_cost(view, model), model) for model in view.age_s
             )
-        return self._losses[engine]
+        return self._unload_costs[engine]
 
-    def _loss(self, view: EngineView, model: str) -> float:
-        copies = len(self.copies[model])
-        if copies <= 1:
-            lost = self.absent(model)
+    def _unload_cost(self, view: EngineView, model: str) -> float:
+        replicas = len(self.replicas[model])
+        if replicas <= 1:
+            lost = self.loss_without_replica(model)
         else:
-            others = self.copies[model] - {view.name}
-            lost = -self._shifted(model, others, copies, copies - 1)
-        once = IN_USE * view.in_use.get(model, 0)
-        if view.age_s[model] < FRESH_S and model in self.demands:
-            once += FRESH
+            others = self.replicas[model] - {view.name}
+            lost = -self._late_per_s_saved(model, others, replicas, replicas - 1)
+        once = IN_USE_UNLOAD_COST * view.in_use.get(model, 0)
+        if view.age_s[model] < RECENT_LOAD_S and model in self.demands:
+            once += RECENT_LOAD_UNLOAD_COST
         return HORIZON_S * lost + once
--- a/src/rosepath/engine_choice.py
+++ b/src/rosepath/engine_choice.py
@@ -1,4 +1,4 @@
-"""Which engine takes a generation: least predicted time to the first token."""
+"""Choose the engine with the shortest predicted time to first token."""
 
 import random
 from collections.abc import Callable, Collection, Iterable
@@ -7,62 +7,64 @@
 from rosepath.caller_call import Prompt
 from rosepath.fleet import BackendServer
 from rosepath.rendezvous import ranked
-from rosepath.server_choice import trusted
+from rosepath.server_choice import healthy_servers
 
-# Tokens of a prompt that an engine reads in a second, to begin with; learned
-# from first tokens since.
-READ_TOKENS_PER_S = 30_000.0
+# Prompt tokens that an engine is assumed to prefill per second.
+PREFILL_TOKENS_PER_S = 30_000.0
 REMOTE_PENALTY_S = 0.002
-# What failed has to be read again elsewhere, after the time that it took.
+# A failed request is prefilled again on another engine, on top of the time
+# already spent.
 ERROR_PENALTY_S = 1.0
-# Getting an adapter there takes a question, an order and its loading, and one
-# of the engine's few places, which cost more the fewer are left.
+# Loading an adapter takes a query, a load order and the load itself, and one
+# of the engine's adapter slots. The fewer slots are free, the higher the cost.
 ADAPTER_PENALTY_S = 0.03
-PLACE_PENALTY_S = 0.12
-# An engine that loads a model, or whose places are all in use, takes no other
-# adapter for about so long.
+ADAPTER_SLOT_PENALTY_S = 0.12
+# An engine that is loading a model, or whose adapter slots are all in use,
+# accepts no further adapter for about this long.
 OCCUPIED_PENALTY_S = 1.0
-# Each request in an engine's batch delays the others' tokens a little.
+# Each request in an engine's batch slightly delays the tokens of the others.
 BATCH_PENALTY_S = 0.004
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class EngineChoice:
-    """Hold the engine chosen and what it is expected to take."""
+    """Hold the chosen engine, the tokens it must prefill and its predicted delay."""
 
     server: BackendServer
     unread_tokens: int
     first_token_s: float
 
 
-def prompt_home_key(prompt: Prompt) -> str:
-    """Return the key by which requests with a common prompt meet."""
+def prefix_affinity_key(prompt: Prompt) -> str:
+    """Return the hash key shared by requests with a common prompt prefix."""
     shared = prompt.parts[:-1]
     return f"{prompt.target}#{shared[-1].part_id if shared else ''}"
 
 
 def holds_adapter(server: BackendServer, prompt: Prompt) -> bool:
-    """Tell whether an engine that holds a prompt's model has its adapter."""
+    """Return whether an engine that holds the prompt's model has its adapter."""
     return not prompt.adapter or prompt.adapter in server.held[prompt.model]
 
 
-def adapter_wait_s(engine: BackendServer, *, adapter_slots: int, now_s: float) -> float:
-    """Return what it takes to get one more adapter onto an engine."""
+def adapter_delay_s(
+    engine: BackendServer, *, adapter_slots: int, now_s: float
+) -> float:
+    """Return the expected delay of loading one more adapter onto an engine."""
     used = sum("/" in target for target in engine.targets_in_use)
     if engine.ordering_until_s > now_s or used >= adapter_slots:
         return OCCUPIED_PENALTY_S
-    return ADAPTER_PENALTY_S + PLACE_PENALTY_S * used / adapter_slots
+    return ADAPTER_PENALTY_S + ADAPTER_SLOT_PENALTY_S * used / adapter_slots
 
 
-def has_place(
+def has_capacity(
     engine: BackendServer, prompt: Prompt, *, adapter_slots: int, now_s: float
 ) -> bool:
-    """Tell whether an engine is known to have a place for a generation."""
+    """Return whether an engine is known to have capacity for a generation."""
     if prompt.model not in engine.held or engine.requests >= engine.entry.slots:
         return False
     if holds_adapter(engine, prompt):
         return True
-    wait_s = adapter_wait_s(engine, adapter_slots=adapter_slots, now_s=now_s)
+    wait_s = adapter_delay_s(engine, adapter_slots=adapter_slots, now_s=now_s)
     return wait_s < OCCUPIED_PENALTY_S
 
 
@@ -79,34 +81,35 @@
     rng: random.Random,
 ) -> EngineChoice | None:
     """Choose among the engines that hold the prompt's model."""
-    able = [
+    eligible = [
         engine
         for engine in engines
-        if engine.takes_work(now_s)
+        if engine.accepts_requests(now_s)
         and engine.name not in tried
         and prompt.model in engine.held
     ]
-    candidates = trusted(able, cut_off=cut_off, now_s=now_s) or able
+    candidates = healthy_servers(eligible, cut_off=cut_off, now_s=now_s) or eligible
     pool = {engine.name: engine for engine in candidates}
     if not pool:
         return None
-    order = ranked(prompt_home_key(prompt), pool)
+    order = ranked(prefix_affinity_key(prompt), pool)
     best: EngineChoice | None = None
     best_key: tuple[float, float] | None = None
     for place, name in enumerate(order):
         engine = pool[name]
         unread = max(0, prompt.input_tokens - cached_tokens(engine, prompt))
-        first_token_s = (engine.unread_tokens + unread) / READ_TOKENS_PER_S
+        first_token_s = (engine.unread_tokens + unread) / PREFILL_TOKENS_PER_S
         first_token_s += engine.requests * BATCH_PENALTY_S
         if engine.entry.data_centre != data_centre:
             first_token_s += REMOTE_PENALTY_S
         if not holds_adapter(engine, prompt):
-            first_token_s += adapter_wait_s(
+            first_token_s += adapter_delay_s(
                 engine, adapter_slots=adapter_slots, now_s=now_s
             )
-        first_token_s += ERROR_PENALTY_S * engine.error_share
-        # Where nothing is cached yet, all VMs should build the cache in the
-        # same place: the first in rank wins unless it is clearly busier.
+        first_token_s += ERROR_PENALTY_S * engine.error_rate
+        # While no engine has the prefix cached, all VMs should build the cache
+        # on the same engine, so the first in the ranking wins unless it is
+        # clearly busier.
         cost_s = first_token_s + 0.01 * min(place, 3)
         key = (cost_s, rng.random())
         if best_key is None or key < best_key:
--- a/src/rosepath/engine_plan.py
+++ b/src/rosepath/engine_plan.py
@@ -1,12 +1,15 @@
-"""Which model to load next on which engine, and what makes way for it.
-
-Pure: a view of the engines and of demand in, at most one swap an engine out.
-All costs are requests a second that would be late or lost. An engine's strain
-is what it makes late, by all that is asked of the models it holds: two busy
-models on one engine strain it though each alone would not. A swap gains what
-it takes off the strained engines, or what is lost while nobody holds a model,
-less what it puts on its own engine, what its victims are worth, and what the
-swap itself costs.
+"""Plan which model each engine loads next and which models it unloads.
+
+The planner has no side effects: it takes a view of the engines and the demand
+and returns at most one swap per engine.
+
+All costs are in requests per second that would be late or lost. The late
+requests of an engine are estimated from the combined demand for all models it
+holds: two busy models can overload one engine though each alone would not. The
+gain of a swap is the number of late requests it removes from overloaded
+engines, or the number of requests lost while no engine holds the model, minus
+the late requests it adds on its own engine, the cost of unloading the victims
+and the cost of the swap itself.
 """
 
 import math
@@ -16,46 +19,51 @@
 from rosepath.demand import ModelDemand
 from rosepath.engine_books import (
     HORIZON_S,
-    NO_WORK,
-    NOTHING_OWED,
-    Books,
+    NO_UNSERVED_REQUESTS,
+    NO_WORKLOAD,
     EngineView,
+    PlanState,
     Swap,
 )
 from rosepath.engine_strain import EngineLimits
 
-# Demand moves on after some ten seconds in the mean: the longer a load takes,
-# the less likely it still helps. Taken off the horizon instead, a load that
-# took as long as that gained nothing, and busy models kept their one copy.
-DEMAND_LASTS_S = 10.0
-# An unload waits for the running requests of its model for about so long.
+# Demand for a model shifts after about ten seconds on average, so the gain of
+# a load decays with its duration. The duration is not subtracted from the
+# horizon instead: a load as long as the horizon would then gain nothing, and
+# busy models would keep a single replica.
+DEMAND_DECAY_S = 10.0
+# Typical time that an unload waits for the running requests of its model.
 IN_USE_WAIT_S = 2.0
-# What each request that came in vain for a model that nobody holds adds to the
-# gain of its load: in the end it outweighs any other use of the room.
-OWED = 3.0
-# Counted once, in requests. Loading keeps an engine from all other orders: each
-# adapter asked for that is not there yet stands still for as long. A load from
-# the weight store costs its users about one request.
-LOADING_PER_S = 1.5
-BLOCKED_PER_S = 0.4
-STORE_LOAD = 1.1
-# The first copy of a busy model in a data centre serves it while it is cut off.
-NEW_DATA_CENTRE = 1.0
-# A swap must gain clearly more than its victims lose, or noise in the demand
-# would swap models back and forth.
+# Gain added to the load of a model that no engine holds, per request that
+# could not be served. It accumulates until the load outweighs any other use of
+# the memory.
+UNSERVED_REQUEST_WEIGHT = 3.0
+# One-time costs of a swap, in requests. A loading engine accepts no other
+# orders, so each requested adapter that it lacks is blocked for the duration.
+# A load from the weight store costs its users about one request.
+LOADING_COST_PER_S = 1.5
+BLOCKED_ADAPTER_COST_PER_S = 0.4
+STORE_LOAD_COST = 1.1
+# The first replica of a busy model in a data centre keeps it available there
+# if the data centre is cut off from the others.
+NEW_DATA_CENTRE_GAIN = 1.0
+# The gain of a swap must clearly exceed the cost of unloading its victims, or
+# noise in the demand would swap models back and forth.
 LOSS_FACTOR = 1.25
-GAIN_MIN = 0.3
-# Engines in a swap at the same time, as a share of all: while it lasts, no
-# adapter gets to them. Those that hold nothing that is asked for may load what
-# is: after a crash, all of them at once.
-MOST_SWAPPING = 0.5
-# Models looked at for each swap, those first that gain most by a copy: until so
-# many have found an engine, and no more than the second.
-MODELS_WEIGHED = 12
-MODELS_LOOKED_AT = 60
-# A swap among 70 engines and 171 models takes 9 ms to find; more at a time would
-# keep a holder from speaking. The next are found a tick later.
-SWAPS_AT_ONCE = 4
+MIN_GAIN = 0.3
+# Maximum share of engines that swap at the same time, as a swapping engine
+# loads no adapters. Engines that hold no requested model are exempt if they
+# load a requested one: after a crash, all of them may load at once.
+MAX_SWAPPING_SHARE = 0.5
+# Models examined for each swap, those with the highest gain from another
+# replica first: until MAX_MODELS_WITH_SWAPS of them have a useful swap, and at
+# most MAX_MODELS_EXAMINED.
+MAX_MODELS_WITH_SWAPS = 12
+MAX_MODELS_EXAMINED = 60
+# Finding one swap among 70 engines and 171 models takes 9 ms. More per plan
+# would block the event loop of the lease holder and delay its messages; the
+# remaining swaps are planned one tick later.
+MAX_SWAPS_PER_PLAN = 4
 
 
 def plan_swaps(
@@ -65,59 +73,69 @@
     *,
     store_room: bool,
     limits: EngineLimits,
-    owed: Mapping[str, float] = NOTHING_OWED,
+    owed: Mapping[str, float] = NO_UNSERVED_REQUESTS,
 ) -> list[Swap]:
-    """Return the next swaps, the most useful first, at most one an engine.
+    """Return the next swaps, the most useful first, at most one per engine.
 
-    `owed` counts the requests that came in vain for a model without a copy.
+    `owed` maps each model without a replica to the number of its requests that
+    could not be served.
     """
-    books = Books.from_views(engines, models, demands, limits=limits, owed=owed)
+    state = PlanState.from_views(engines, models, demands, limits=limits, owed=owed)
     free = {engine.name: engine for engine in engines if engine.settled}
     swapping = len(engines) - len(free)
     swaps: list[Swap] = []
-    while free and len(swaps) < SWAPS_AT_ONCE:
-        able = list(free.values())
-        wanted: Iterable[str] = books.models
-        if swapping >= max(1.0, MOST_SWAPPING * len(engines)):
-            able = [engine for engine in able if not _serves(engine, demands)]
-            wanted = demands.keys() & books.models.keys()
-        best = _best_swap(able, books, wanted=wanted, store_room=store_room)
+    while free and len(swaps) < MAX_SWAPS_PER_PLAN:
+        eligible = list(free.values())
+        wanted: Iterable[str] = state.models
+        if swapping >= max(1.0, MAX_SWAPPING_SHARE * len(engines)):
+            eligible = [
+                engine
+                for engine in eligible
+                if not _holds_requested_model(engine, demands)
+            ]
+            wanted = demands.keys() & state.models.keys()
+        best = _best_swap(eligible, state, wanted=wanted, store_room=store_room)
         if best is None:
             break
         swaps.append(best)
         swapping += 1
         del free[best.engine]
-        books.apply(best)
+        state.apply(best)
         store_room = store_room and not best.from_store
     return swaps
 
 
-def _serves(engine: EngineView, demands: Mapping[str, ModelDemand]) -> bool:
-    """Tell whether an engine holds a model that is asked for."""
+def _holds_requested_model(
+    engine: EngineView, demands: Mapping[str, ModelDemand]
+) -> bool:
+    """Return whether an engine holds a model that has demand."""
     return any(model in demands for model in engine.age_s)
 
 
 def _best_swap(
     engines: Sequence[EngineView],
-    books: Books,
+    state: PlanState,
     *,
     wanted: Iterable[str],
     store_room: bool,
 ) -> Swap | None:
-    values = sorted(((books.value(model), model) for model in wanted), reverse=True)
+    values = sorted(
+        ((state.replica_gain_per_s(model), model) for model in wanted), reverse=True
+    )
     best: Swap | None = None
-    weighed = 0
-    for value, model in values[:MODELS_LOOKED_AT]:
-        if value <= 0 or weighed == MODELS_WEIGHED:
+    models_with_swaps = 0
+    for replica_gain_per_s, model in values[:MAX_MODELS_EXAMINED]:
+        if replica_gain_per_s <= 0 or models_with_swaps == MAX_MODELS_WITH_SWAPS:
             break
         swaps = [
             swap
             for engine in engines
-            if model not in books.held[engine.name]
+            if model not in state.held[engine.name]
             and (store_room or model in engine.near)
-            and (swap := _swap_for(engine, model, value, books)) is not None
+            and (swap := _swap_for(engine, model, replica_gain_per_s, state))
+            is not None
         ]
-        weighed += bool(swaps)
+        models_with_swaps += bool(swaps)
         for swap in swaps:
             if best is None or swap.gain > best.gain:
                 best = swap
@@ -125,38 +143,46 @@
 
 
 def _swap_for(
-    engine: EngineView, model: str, value: float, books: Books
+    engine: EngineView, model: str, replica_gain_per_s: float, state: PlanState
 ) -> Swap | None:
-    """Return a swap that gains, or None."""
-    spec = books.models[model]
+    """Return a swap with sufficient gain, or None."""
+    spec = state.models[model]
     from_store = model not in engine.near
     load_s = spec.load_s if from_store else engine.near[model]
-    gain = OWED * books.owed.get(model, 0.0) + _lasting(value, load_s)
-    gain += _new_data_centre(engine, model, books)
-    blocked_per_s = LOADING_PER_S + BLOCKED_PER_S * books.missing(engine)
+    gain = UNSERVED_REQUEST_WEIGHT * state.owed.get(model, 0.0) + _discounted_gain(
+        replica_gain_per_s, load_s
+    )
+    gain += _new_data_centre_gain(engine, model, state)
+    blocked_per_s = (
+        LOADING_COST_PER_S + BLOCKED_ADAPTER_COST_PER_S * state.missing_adapters(engine)
+    )
     gain -= blocked_per_s * min(load_s, HORIZON_S)
-    gain -= STORE_LOAD if from_store else 0.0
-    if gain < GAIN_MIN:
+    gain -= STORE_LOAD_COST if from_store else 0.0
+    if gain < MIN_GAIN:
         return None
     needed_mb = spec.size_mb - (engine.memory_mb - engine.used_mb)
     victims: tuple[str, ...] = ()
     loss = 0.0
     if needed_mb > 0:
-        found = _victims(engine, needed_mb, books)
+        found = _victims(engine, needed_mb, state)
         if found is None:
             return None
         victims, loss = found
         if any(engine.in_use.get(victim) for victim in victims):
-            gain += _lasting(value, load_s + IN_USE_WAIT_S) - _lasting(value, load_s)
-    if gain < GAIN_MIN + LOSS_FACTOR * loss:
+            gain += _discounted_gain(
+                replica_gain_per_s, load_s + IN_USE_WAIT_S
+            ) - _discounted_gain(replica_gain_per_s, load_s)
+    if gain < MIN_GAIN + LOSS_FACTOR * loss:
         return None
-    more = books.share(model, len(books.copies[model]) + 1)
-    less = NO_WORK
+    added = state.replica_workload(model, len(state.replicas[model]) + 1)
+    removed = NO_WORKLOAD
     for victim in victims:
-        less = less.plus(books.share(victim, len(books.copies[victim])))
-    burden = books.strain_of(engine.name, less=less, more=more)
-    gain -= HORIZON_S * (burden - books.strain_of(engine.name))
-    if gain < GAIN_MIN + LOSS_FACTOR * loss:
+        removed = removed.plus(
+            state.replica_workload(victim, len(state.replicas[victim]))
+        )
+    late_after = state.late_per_s_on(engine.name, removed=removed, added=added)
+    gain -= HORIZON_S * (late_after - state.late_per_s_on(engine.name))
+    if gain < MIN_GAIN + LOSS_FACTOR * loss:
         return None
     return Swap(
         engine=engine.name,
@@ -167,36 +193,36 @@
     )
 
 
-def _lasting(value: float, load_s: float) -> float:
-    """Return what a gain a second comes to that begins after a load."""
-    return HORIZON_S * value * math.exp(-load_s / DEMAND_LASTS_S)
+def _discounted_gain(replica_gain_per_s: float, load_s: float) -> float:
+    """Return the total of a gain per second that starts after a load."""
+    return HORIZON_S * replica_gain_per_s * math.exp(-load_s / DEMAND_DECAY_S)
 
 
-def _new_data_centre(engine: EngineView, model: str, books: Books) -> float:
-    if model not in books.demands:
+def _new_data_centre_gain(engine: EngineView, model: str, state: PlanState) -> float:
+    if model not in state.demands:
         return 0.0
-    there = {books.engines[name].data_centre for name in books.copies[model]}
-    return 0.0 if engine.data_centre in there else NEW_DATA_CENTRE
+    there = {state.engines[name].data_centre for name in state.replicas[model]}
+    return 0.0 if engine.data_centre in there else NEW_DATA_CENTRE_GAIN
 
 
 def _victims(
-    engine: EngineView, needed_mb: float, books: Books
+    engine: EngineView, needed_mb: float, state: PlanState
 ) -> tuple[tuple[str, ...], float] | None:
-    """Return the models lost most easily that free enough memory together."""
-    losses = books.losses(engine.name)
+    """Return the models that free enough memory at the lowest cost, with the cost."""
+    unload_costs = state.unload_costs(engine.name)
     single = next(
         (
             ((model,), loss)
-            for loss, model in losses
-            if _size_mb(books, model) >= needed_mb
+            for loss, model in unload_costs
+            if _size_mb(state, model) >= needed_mb
         ),
         None,
     )
     gone_mb, total = 0.0, 0.0
     several: list[str] = []
-    for loss, model in losses:
+    for loss, model in unload_costs:
         several.append(model)
-        gone_mb += _size_mb(books, model)
+        gone_mb += _size_mb(state, model)
         total += loss
         if gone_mb >= needed_mb:
             break
@@ -205,6 +231,6 @@
     return tuple(several), total
 
 
-def _size_mb(books: Books, model: str) -> float:
-    spec = books.models.get(model)
+def _size_mb(state: PlanState, model: str) -> float:
+    spec = state.models.get(model)
     return spec.size_mb if spec else 0.0
--- a/src/rosepath/engine_strain.py
+++ b/src/rosepath/engine_strain.py
@@ -1,56 +1,59 @@
-"""How many requests an engine makes late, by what is asked of it.
+"""Estimate how many requests an engine serves late for a given workload.
 
-Pure. An engine reads prompts between the tokens that it writes for all running
-requests, so a burst of prompts is a pause in every stream; the more requests
-run, the fewer slots are left for those that come.
+The functions have no side effects. An engine interleaves prefill with decoding
+for all running requests, so a burst of prompts pauses every stream; the more
+requests are running, the fewer slots are left for new ones.
 """
 
 import math
 from dataclasses import dataclass
 
-# Lengths of prompts scatter about as widely as their mean: the square of a
-# length is twice the square of the mean length.
-READ_SPREAD = 2.0
-# Of a pause that is still good, this much may be spent reading; the rest goes
-# into the steps that write the next event.
-READ_SHARE_OF_PAUSE = 0.8
-# Steps that write go on between the pieces of a prompt, so that no engine reads
-# for more than this share of its time.
-READ_CAPACITY = 0.9
-# From this share of its slots in use, chance fills an engine now and then, and
-# at the second one its requests queue.
-SLOTS_EASED = 0.7
-SLOTS_FULL = 1.1
-# Chance makes so many late on an engine that is well used. To spread its models
-# for these splits what engines keep of shared prompts, which are then read
-# again: where prompts are long, that made more late than it spared.
-LATE_BORNE = 0.25
-# So few prompts come within a pause that the chance of a burst is below what a
-# float holds; smaller figures still would round to nothing and divide by it.
-SHAPE_MIN = 1e-6
-# Beyond that the queue grows, and with it what is lost; up to this.
-LATE_MAX = 1.5
-# Requests a second that wait too long for each adapter beyond the places.
-CROWDED_OUT_PER_S = 0.4
+# Mean squared prompt length divided by the squared mean: lengths scatter about
+# as widely as their mean.
+PROMPT_LENGTH_DISPERSION = 2.0
+# Share of the longest acceptable pause available for prefill; the rest is
+# spent on the decoding steps that produce the next event.
+PREFILL_SHARE_OF_PAUSE = 0.8
+# Decoding continues between the chunks of a prompt, so an engine spends at
+# most this share of its time on prefill.
+MAX_PREFILL_SHARE = 0.9
+# Share of slots in use from which random peaks occasionally fill an engine,
+# and share at which all its requests queue.
+SLOTS_QUEUEING_FROM = 0.7
+SLOTS_QUEUEING_ALL = 1.1
+# Share of late requests that random bursts cause on a well-used engine. Adding
+# replicas to avoid these would split the cached shared prefixes, which are
+# then prefilled again: with long prompts this made more requests late than it
+# saved.
+TOLERATED_LATE_SHARE = 0.25
+# Below this shape the probability of a burst is less than a float can
+# represent; even smaller shapes round to zero and cause a division by zero.
+MIN_GAMMA_SHAPE = 1e-6
+# Upper bound of the late share: beyond full load the queue grows, and the lost
+# requests with it.
+MAX_LATE_SHARE = 1.5
+# Late requests per second for each adapter in excess of the adapter slots.
+LATE_PER_S_PER_EXCESS_ADAPTER = 0.4
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
-class Work:
-    """Hold what is asked of an engine, or of a model, in every second.
+class Workload:
+    """Describe the load per second on an engine or for a model.
 
-    `read` is the share of an engine's time that it takes to read the prompts,
-    `running` the requests in progress, `adapters` those asked for.
+    `prefill_share` is the share of an engine's time spent on prefill,
+    `running` the number of requests in progress, `adapters` the number of
+    requested adapters.
     """
 
-    read: float = 0.0
+    prefill_share: float = 0.0
     asked_per_s: float = 0.0
     running: float = 0.0
     adapters: float = 0.0
 
-    def plus(self, other: "Work", *, times: float = 1.0) -> "Work":
-        """Return this work and so many times another."""
-        return Work(
-            read=max(0.0, self.read + times * other.read),
+    def plus(self, other: "Workload", *, times: float = 1.0) -> "Workload":
+        """Return the sum of this workload and a multiple of another."""
+        return Workload(
+            prefill_share=max(0.0, self.prefill_share + times * other.prefill_share),
             asked_per_s=max(0.0, self.asked_per_s + times * other.asked_per_s),
             running=max(0.0, self.running + times * other.running),
             adapters=max(0.0, self.adapters + times * other.adapters),
@@ -59,10 +62,10 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class EngineLimits:
-    """Hold what an engine offers, and what its callers find good.
+    """Hold the capacity of an engine and the latency targets of its callers.
 
-    `first_s` is the longest good wait for a first token, `gap_s` the longest
-    good pause after it.
+    `first_s` is the longest acceptable time to the first token, `gap_s` the
+    longest acceptable pause after it.
     """
 
     slots: int
@@ -71,54 +74,59 @@
     gap_s: float
 
 
-def late_per_s(work: Work, limits: EngineLimits) -> float:
-    """Return the requests a second that an engine makes late."""
-    crowded_out = max(0.0, work.adapters - limits.adapter_slots)
+def late_per_s(workload: Workload, limits: EngineLimits) -> float:
+    """Return the number of requests per second that an engine serves late."""
+    excess_adapters = max(0.0, workload.adapters - limits.adapter_slots)
     late = 0.0
-    if work.asked_per_s > 0:
-        in_time = 1.0 - paused_share(work, limits)
-        filled = work.running / limits.slots
-        crowded = max(0.0, (filled - SLOTS_EASED) / (SLOTS_FULL - SLOTS_EASED))
-        late = 1.0 - in_time + crowded + in_time * waiting_share(work, limits)
-        late = max(0.0, late - LATE_BORNE) / (1.0 - LATE_BORNE)
-        late = min(LATE_MAX, late)
-    return work.asked_per_s * late + CROWDED_OUT_PER_S * crowded_out
+    if workload.asked_per_s > 0:
+        in_time = 1.0 - stalled_stream_share(workload, limits)
+        filled = workload.running / limits.slots
+        queueing = max(
+            0.0,
+            (filled - SLOTS_QUEUEING_FROM) / (SLOTS_QUEUEING_ALL - SLOTS_QUEUEING_FROM),
+        )
+        late = 1.0 - in_time + queueing + in_time * late_prefill_share(workload, limits)
+        late = max(0.0, late - TOLERATED_LATE_SHARE) / (1.0 - TOLERATED_LATE_SHARE)
+        late = min(MAX_LATE_SHARE, late)
+    return workload.asked_per_s * late + LATE_PER_S_PER_EXCESS_ADAPTER * excess_adapters
 
 
-def waiting_share(work: Work, limits: EngineLimits) -> float:
-    """Return the share of requests whose prompts wait too long to be read.
+def late_prefill_share(workload: Workload, limits: EngineLimits) -> float:
+    """Return the share of requests that wait too long for prefill.
 
-    As in a queue with exponential service; more than 1 if it only grows.
+    This uses the waiting time of a queue with exponential service times. The
+    result is 1 or more if the queue grows without bound.
     """
-    busy = work.read / READ_CAPACITY
-    if busy >= 1.0 or work.asked_per_s <= 0:
+    busy = workload.prefill_share / MAX_PREFILL_SHARE
+    if busy >= 1.0 or workload.asked_per_s <= 0:
         return busy
-    mean_read_s = work.read / work.asked_per_s
+    mean_read_s = workload.prefill_share / workload.asked_per_s
     if mean_read_s <= 0:
         return 0.0
     return busy * math.exp(-limits.first_s * (1.0 - busy) / mean_read_s)
 
 
-def paused_share(work: Work, limits: EngineLimits) -> float:
-    """Return the share of streams in which a burst of prompts is a late pause.
+def stalled_stream_share(workload: Workload, limits: EngineLimits) -> float:
+    """Return the share of streams that a burst of prompts pauses for too long.
 
-    What is read within the length of a pause is a sum of so many prompts as
-    come by chance, about gamma distributed. A stream meets as many such
-    windows as fit into its life; each may be the bad one.
+    The prefill work that arrives within the longest acceptable pause is the
+    sum of a random number of prompts, approximately gamma distributed. A
+    stream spans as many such windows as fit into its duration, and each may
+    contain a burst.
     """
-    shape = work.asked_per_s * limits.gap_s / READ_SPREAD
-    if work.read <= 0 or shape < SHAPE_MIN:
+    shape = workload.asked_per_s * limits.gap_s / PROMPT_LENGTH_DISPERSION
+    if workload.prefill_share <= 0 or shape < MIN_GAMMA_SHAPE:
         return 0.0
-    risk = _gamma_tail(READ_SHARE_OF_PAUSE / work.read, shape)
-    life_s = work.running / work.asked_per_s
+    risk = _gamma_tail(PREFILL_SHARE_OF_PAUSE / workload.prefill_share, shape)
+    life_s = workload.running / workload.asked_per_s
     windows = max(1.0, life_s / limits.gap_s)
     return 1.0 - (1.0 - risk) ** windows
 
 
 def _gamma_tail(times_mean: float, shape: float) -> float:
-    """Return the chance that a gamma variable exceeds a multiple of its mean.
+    """Return the probability that a gamma variable exceeds a multiple of its mean.
 
-    By the approximation of Wilson and Hilferty: its cube root is about normal.
+    The Wilson-Hilferty approximation treats its cube root as normal.
     """
     spread = 1.0 / (9.0 * shape)
     deviations = (times_mean ** (1 / 3) - (1.0 - spread)) / math.sqrt(spread)
--- a/src/rosepath/engine_views.py
+++ b/src/rosepath/engine_views.py
@@ -1,4 +1,4 @@
-"""What the holder knows of an engine, as the plan sees it."""
+"""Build the planner's view of an engine from the lease holder's records."""
 
 from collections.abc import Collection
 
@@ -12,7 +12,7 @@
 def engine_view(
     server: BackendServer, record: EngineRecord, spec: EngineSpec, *, now_s: float
 ) -> EngineView:
-    """Return an engine's view for the plan."""
+    """Return the planner's view of an engine."""
     near = {
         name: load_s_of(server, spec.models[name])
         for name in server.entry.on_disk | server.entry.in_memory
@@ -40,7 +40,7 @@
 def used_mb(
     record: EngineRecord, spec: EngineSpec, *, without: Collection[str] = ()
 ) -> float:
-    """Return an engine's memory taken or promised, without some models' part."""
+    """Return an engine's memory in use or reserved, leaving out some models."""
     return record.used_mb(
         {name: model.size_mb for name, model in spec.models.items()},
         {name: model.adapter_mb for name, model in spec.models.items()},
@@ -49,7 +49,7 @@
 
 
 def load_s_of(server: BackendServer, model: ModelSpec) -> float:
-    """Return how long an engine takes to load a model, from where it has it."""
+    """Return how long an engine takes to load a model, given where it is stored."""
     if model.name in server.entry.in_memory:
         return model.warm_load_s
     if model.name in server.entry.on_disk:
@@ -58,7 +58,7 @@
 
 
 def swap_s(swap: Swap, server: BackendServer, spec: EngineSpec) -> float:
-    """Return how long a swap will take, with the unloads before it."""
+    """Return how long a swap will take, including the unloads before it."""
     in_use = server.models_in_use
     waits = any(in_use[victim] for victim in swap.victims)
     load_s = load_s_of(server, spec.models[swap.model])
--- a/src/rosepath/fleet.py
+++ b/src/rosepath/fleet.py
@@ -7,7 +7,7 @@
 
 # Servers whose latest life is remembered: more than start again in the minutes
 # for which an older entry could still come.
-LIVES_KEPT = 5_000
+MAX_REMEMBERED_SERVERS = 5_000
 
 
 # A server that sheds load does so at once; the others wait so long for the request
@@ -94,7 +94,7 @@
     down_until_s: float = -1e9
     unreached_s: float = -1e9
     latency_s: float = 0.0
-    error_share: float = 0.0
+    error_rate: float = 0.0
     # The entry's models, corrected by what an answer or an order showed since.
     held: dict[str, set[str]] = field(default_factory=dict)
     # Until when it is known to be busy with an order: no adapter gets there.
@@ -123,7 +123,7 @@
         """Tell whether it sheds load and told this VM to come back later."""
         return now_s < self.backoff_until_s
 
-    def takes_work(self, now_s: float) -> bool:
+    def accepts_requests(self, now_s: float) -> bool:
         """Tell whether one more request may be sent there now.
 
         After a backoff the server is half-open: one request finds out whether it takes
@@ -231,25 +231,25 @@
         elif entry.born_ms <= self._leaving.get(entry.name, -1):
             entry = replace(entry, draining=True)
         server = self.servers.get(entry.name)
-        reborn = server is not None and entry.born_ms > server.entry.born_ms
-        self._note_born(entry)
-        if server is None or reborn:
+        restarted = server is not None and entry.born_ms > server.entry.born_ms
+        self._note_started(entry)
+        if server is None or restarted:
             if server is not None:
                 server.left = True
             server = self.servers[entry.name] = BackendServer(entry=entry)
         server.entry = entry
         server.left = False
         server.held = {name: set(adapters) for name, adapters in entry.models.items()}
-        return reborn
+        return restarted
 
     def _note_leaving(self, name: str, born_ms: int) -> None:
         if born_ms > self._leaving.get(name, -1):
-            _remember(self._leaving, name, born_ms)
+            _remember_latest(self._leaving, name, born_ms)
 
-    def _note_born(self, entry: ServerEntry) -> None:
+    def _note_started(self, entry: ServerEntry) -> None:
         """Remember a life for longer than entries of earlier ones may come."""
         if entry.born_ms:
-            _remember(self._born_ms, entry.name, entry.born_ms)
+            _remember_latest(self._born_ms, entry.name, entry.born_ms)
 
     def remove(self, name: str, *, gone_at: int = 0) -> None:
         """Take out a backend server that left; its running requests go on.
@@ -257,16 +257,16 @@
         `gone_at` is a revision of the store at which its entry was gone.
         """
         if gone_at > self._gone_at.get(name, 0):
-            _remember(self._gone_at, name, gone_at)
+            _remember_latest(self._gone_at, name, gone_at)
         server = self.servers.pop(name, None)
         if server is not None:
             server.left = True
 
 
-def _remember(latest: OrderedDict[str, int], name: str, value: int) -> None:
+def _remember_latest(latest: OrderedDict[str, int], name: str, value: int) -> None:
     latest[name] = value
     latest.move_to_end(name)
-    while len(latest) > LIVES_KEPT:
+    while len(latest) > MAX_REMEMBERED_SERVERS:
         latest.popitem(last=False)
 
 
--- a/src/rosepath/model_arrivals.py
+++ b/src/rosepath/model_arrivals.py
@@ -8,10 +8,10 @@
 
 # Word of a load is renewed with each of the holder's datagrams; without it,
 # the load has ended, or its holder has.
-WORD_HOLDS_S = 1.0
+ARRIVALS_TTL_S = 1.0
 # Callers that are told to come back for the same load return spread over this,
 # or the first engine that has the model meets all of them at once.
-BACK_SPREAD_S = 0.5
+RETRY_JITTER_S = 0.5
 
 
 class ModelArrival(NamedTuple):
@@ -22,19 +22,19 @@
     in_s: float
 
 
-class Wait(StrEnum):
+class WaitDecision(StrEnum):
     """Say what a request for a model that nobody holds does."""
 
-    ON = "on"
-    REFUSED = "refused"
+    KEEP_WAITING = "on"
+    REFUSE = "refused"
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class WaitChoice:
     """Hold whether a request waits on, and else when its caller may be back."""
 
-    wait: Wait
-    back_s: float = 0.0
+    decision: WaitDecision
+    retry_after_s: float = 0.0
 
 
 @dataclass(slots=True)
@@ -42,11 +42,11 @@
     """Hold which models are on their way, by the holder's latest word."""
 
     _due_s: dict[str, float] = field(default_factory=dict)
-    _heard_s: float = -1e9
+    _updated_s: float = -1e9
 
     def hear(self, arrivals: Iterable[ModelArrival], *, now_s: float) -> None:
         """Take in the holder's word, which replaces the one before."""
-        self._heard_s = now_s
+        self._updated_s = now_s
         self._due_s.clear()
         for arrival in arrivals:
             due_s = now_s + arrival.in_s
@@ -55,7 +55,7 @@
 
     def due_s(self, model: str, *, now_s: float) -> float | None:
         """Return when a model will be on some engine, if that is known."""
-        if now_s - self._heard_s > WORD_HOLDS_S:
+        if now_s - self._updated_s > ARRIVALS_TTL_S:
             return None
         return self._due_s.get(model)
 
@@ -63,7 +63,7 @@
 def choose_wait(
     *,
     due_s: float | None,
-    give_up_s: float,
+    wait_until_s: float,
     now_s: float,
     rng: random.Random,
 ) -> WaitChoice:
@@ -74,7 +74,7 @@
     be refused all the same, with less time left to come back. Without word of a
     load it waits on: that it waits is what brings the load about.
     """
-    if due_s is None or due_s <= give_up_s:
-        return WaitChoice(wait=Wait.ON)
-    back_s = max(0.0, due_s - now_s) + rng.uniform(0.0, BACK_SPREAD_S)
-    return WaitChoice(wait=Wait.REFUSED, back_s=back_s)
+    if due_s is None or due_s <= wait_until_s:
+        return WaitChoice(decision=WaitDecision.KEEP_WAITING)
+    retry_after_s = max(0.0, due_s - now_s) + rng.uniform(0.0, RETRY_JITTER_S)
+    return WaitChoice(decision=WaitDecision.REFUSE, retry_after_s=retry_after_s)
--- a/src/rosepath/server_choice.py
+++ b/src/rosepath/server_choice.py
@@ -12,7 +12,7 @@
 # A server that answers every other request with an error is passed over for
 # any that has a free slot.
 ERROR_PENALTY = 2.0
-ERROR_LEARNED = 0.15
+ERROR_RATE_SMOOTHING = 0.15
 
 # A server that takes no connection is tried again after this; its entry stays
 # for three heartbeats after its end.
@@ -20,10 +20,10 @@
 SUSPECT_FIRST_S = 0.5
 SUSPECT_MAX_S = 4.0
 # Plain failures happen to good servers, too; this many in a row do not.
-FAILURES_BORNE = 3
+TOLERATED_FAILURES = 3
 
 
-def trusted(
+def healthy_servers(
     servers: Iterable[BackendServer], *, cut_off: Collection[str], now_s: float
 ) -> list[BackendServer]:
     """Return the servers that did not fail lately and can be reached."""
@@ -44,16 +44,16 @@
     rng: random.Random,
 ) -> BackendServer | None:
     """Choose the least busy server; one that failed lately goes behind."""
-    able = [
+    eligible = [
         server
         for server in servers
-        if server.takes_work(now_s) and server.name not in tried
+        if server.accepts_requests(now_s) and server.name not in tried
     ]
     return min(
-        trusted(able, cut_off=cut_off, now_s=now_s) or able,
+        healthy_servers(eligible, cut_off=cut_off, now_s=now_s) or eligible,
         key=lambda server: (
             server.requests / max(1, server.entry.slots)
-            + ERROR_PENALTY * server.error_share
+            + ERROR_PENALTY * server.error_rate
             + (REMOTE_PENALTY if server.entry.data_centre != data_centre else 0.0),
             rng.random(),
         ),
@@ -65,7 +65,7 @@
     """Restore trust and learn how long an answer takes."""
     server.failures = 0
     server.suspect_until_s = 0.0
-    server.error_share -= ERROR_LEARNED * server.error_share
+    server.error_rate -= ERROR_RATE_SMOOTHING * server.error_rate
     server.latency_s += 0.2 * (took_s - server.latency_s)
 
 
@@ -90,14 +90,14 @@
 
 def note_error(server: BackendServer) -> None:
     """Learn that a server answered with an error of its own."""
-    server.error_share += ERROR_LEARNED * (1.0 - server.error_share)
+    server.error_rate += ERROR_RATE_SMOOTHING * (1.0 - server.error_rate)
 
 
 def note_failure(server: BackendServer, *, now_s: float, silent: bool) -> None:
     """Put a server behind the others for a while, longer each time."""
     server.failures += 1
     note_error(server)
-    if not silent and server.failures < FAILURES_BORNE:
+    if not silent and server.failures < TOLERATED_FAILURES:
         return
     pause_s = SUSPECT_FIRST_S * 2 ** min(server.failures, 4)
     server.suspect_until_s = now_s + min(pause_s, SUSPECT_MAX_S)
--- a/src/rosepath/server_picker.py
+++ b/src/rosepath/server_picker.py
@@ -11,24 +11,24 @@
 from rosepath.engine_choice import (
     EngineChoice,
     choose_engine,
-    has_place,
+    has_capacity,
     holds_adapter,
 )
 from rosepath.errors import RefusalError, Run, Step, refuse
 from rosepath.fleet import BackendServer, Flight
 from rosepath.logs import get_logger
-from rosepath.model_arrivals import Wait, choose_wait
+from rosepath.model_arrivals import WaitDecision, choose_wait
 from rosepath.request_context import RETRY_AFTER_S, RelayPorts, RequestContext
-from rosepath.server_choice import choose_server, trusted
+from rosepath.server_choice import choose_server, healthy_servers
 from rosepath.suspects import Suspects
 
 # How long a request waits for a server to become known before it is refused.
 NO_SERVER_WAIT_S = 0.5
 # Of the time until its caller leaves, what a generation may spend waiting for
 # an engine that holds its model; the rest is for the engine to begin.
-WAITED_SHARE = 0.85
+MAX_WAIT_SHARE = 0.85
 # A caller that is told to come back sooner does so in vain.
-QUARANTINED_BACK_S = 60.0
+QUARANTINED_RETRY_AFTER_S = 60.0
 QUARANTINED_CODE = "crashes_servers"
 # An adapter is there after some 20 ms; a holder that does not answer by then
 # may be gone, and its successor is asked.
@@ -46,16 +46,18 @@
 
     async def choose(self, context: RequestContext) -> tuple[BackendServer, Flight]:
         """Choose a server, waiting a little for one if there is none."""
-        asked_s = self._now_s()
-        give_up_s = self._wait_until_s(context, asked_s)
+        started_s = self._now_s()
+        wait_until_s = self._wait_limit_s(context, started_s)
         if context.service.engine is not None:
             if context.call.prompt is not None and not context.seen:
                 self._ports.models.note_asked(context.service.name, context.call.prompt)
         with self._counted_waiting(context) as count_waiting:
-            return await self._choose_until(context, asked_s, give_up_s, count_waiting)
+            return await self._choose_until(
+                context, started_s, wait_until_s, count_waiting
+            )
 
     @staticmethod
-    def _wait_until_s(context: RequestContext, asked_s: float) -> float:
+    def _wait_limit_s(context: RequestContext, started_s: float) -> float:
         """Return until when a request may wait for a server.
 
         A caller of a stream leaves if its first event is too long in coming; an
@@ -65,9 +67,9 @@
         if context.lost_if_refused:
             return context.deadline_s
         if context.service.engine is None:
-            return min(asked_s + NO_SERVER_WAIT_S, context.deadline_s)
+            return min(started_s + NO_SERVER_WAIT_S, context.deadline_s)
         patience_s = min(context.route.event_patience_s, context.route.timeout_s)
-        left_s = WAITED_SHARE * patience_s
+        left_s = MAX_WAIT_SHARE * patience_s
         return min(context.call.arrived_s + left_s, context.deadline_s)
 
     @contextmanager
@@ -92,8 +94,8 @@
     async def _choose_until(
         self,
         context: RequestContext,
-        asked_s: float,
-        give_up_s: float,
+        started_s: float,
+        wait_until_s: float,
         count_waiting: Callable[[], None],
     ) -> tuple[BackendServer, Flight]:
         while True:
@@ -102,19 +104,19 @@
             chosen = await self._pick(context)
             now_s = self._now_s()
             if chosen is not None and now_s < context.deadline_s:
-                context.waited_s += now_s - asked_s
+                context.waited_s += now_s - started_s
                 return chosen
-            if now_s >= min(give_up_s, self._stop_limit_s(context)):
-                context.waited_s += now_s - asked_s
+            if now_s >= min(wait_until_s, self._stop_limit_s(context)):
+                context.waited_s += now_s - started_s
                 raise _refused(
                     context,
                     "no_server",
                     "no server can take the request now",
                     back_s=RETRY_AFTER_S,
                 )
-            self._refuse_if_late(context, asked_s, give_up_s)
+            self._refuse_if_late(context, started_s, wait_until_s)
             count_waiting()
-            await self._wait_for_change(min(give_up_s - now_s, 0.1))
+            await self._wait_for_change(min(wait_until_s - now_s, 0.1))
 
     def _stop_limit_s(self, context: RequestContext) -> float:
         """Return until when a planned stop lets a request wait.
@@ -138,35 +140,35 @@
             context,
             QUARANTINED_CODE,
             "servers crashed each time that this request was run",
-            back_s=QUARANTINED_BACK_S,
+            back_s=QUARANTINED_RETRY_AFTER_S,
         )
 
     def _refuse_if_late(
-        self, context: RequestContext, asked_s: float, give_up_s: float
+        self, context: RequestContext, started_s: float, wait_until_s: float
     ) -> None:
         """Refuse at once what can't be served while its caller waits."""
         if context.lost_if_refused:
             return
         prompt, now_s = context.call.prompt, self._now_s()
-        able = self._able(context)
-        if prompt and context.service.engine and not able:
+        eligible = self._eligible_servers(context)
+        if prompt and context.service.engine and not eligible:
             due_s = self._ports.models.model_due_s(prompt.model)
             code = "model_absent"
             why = "the model can't be loaded while the caller waits"
-        elif able and all(server.in_backoff(now_s) for server in able):
-            due_s = min(server.backoff_until_s for server in able)
+        elif eligible and all(server.in_backoff(now_s) for server in eligible):
+            due_s = min(server.backoff_until_s for server in eligible)
             code = "servers_back_off"
             why = "all servers that could take the request shed load"
         else:
             return
         choice = choose_wait(
-            due_s=due_s, give_up_s=give_up_s, now_s=now_s, rng=self._ports.rng
+            due_s=due_s, wait_until_s=wait_until_s, now_s=now_s, rng=self._ports.rng
         )
-        if choice.wait is Wait.REFUSED:
-            context.waited_s += now_s - asked_s
-            raise _refused(context, code, why, back_s=choice.back_s)
+        if choice.decision is WaitDecision.REFUSE:
+            context.waited_s += now_s - started_s
+            raise _refused(context, code, why, back_s=choice.retry_after_s)
 
-    def _able(self, context: RequestContext) -> list[BackendServer]:
+    def _eligible_servers(self, context: RequestContext) -> list[BackendServer]:
         """Return the servers that could take a request, now or soon."""
         prompt, spec = context.call.prompt, context.service.engine
         return [
@@ -229,23 +231,23 @@
         it would keep a request from others that have room.
         """
         ports = self._ports
-        asked_s = self._now_s()
-        without_room = set(avoided)
+        started_s = self._now_s()
+        rejected = set(avoided)
         while (now_s := self._now_s()) < min(
-            asked_s + ADAPTER_WAIT_S, context.deadline_s
+            started_s + ADAPTER_WAIT_S, context.deadline_s
         ):
             choice = choose_engine(
                 ports.fleet.of_service(context.service.name),
                 prompt,
                 adapter_slots=spec.adapter_slots,
                 data_centre=ports.data_centre,
-                tried=context.tried | without_room,
+                tried=context.tried | rejected,
                 cut_off=ports.cut_off(),
                 now_s=now_s,
                 cached_tokens=ports.caches.cached_tokens,
                 rng=ports.rng,
             )
-            if choice is None and without_room == avoided:
+            if choice is None and rejected == avoided:
                 # All that hold the model refused it; it may be theirs again soon.
                 context.tried.clear()
             if choice is None or holds_adapter(choice.server, prompt):
@@ -255,7 +257,7 @@
                 context.service.name, choice.server, prompt, limit_s=limit_s
             ):
                 return choice
-            without_room.add(choice.server.name)
+            rejected.add(choice.server.name)
         return None
 
     def has_room_besides(self, context: RequestContext, server: BackendServer) -> bool:
@@ -263,26 +265,28 @@
         ports, now_s = self._ports, self._now_s()
         prompt, spec = context.call.prompt, context.service.engine
 
-        def has_room(other: BackendServer) -> bool:
+        def has_free_capacity(other: BackendServer) -> bool:
             if spec is None or prompt is None:
                 return other.requests < other.entry.slots
-            return has_place(
+            return has_capacity(
                 other, prompt, adapter_slots=spec.adapter_slots, now_s=now_s
             )
 
         others = [
             other
             for other in ports.fleet.of_service(context.service.name)
-            if other is not server and other.takes_work(now_s) and has_room(other)
+            if other is not server
+            and other.accepts_requests(now_s)
+            and has_free_capacity(other)
         ]
-        return bool(trusted(others, cut_off=ports.cut_off(), now_s=now_s))
+        return bool(healthy_servers(others, cut_off=ports.cut_off(), now_s=now_s))
 
     def has_untried(self, context: RequestContext) -> bool:
         """Tell whether there is a server that a request has not been sent to."""
         now_s = self._now_s()
         return any(
             server.name not in context.tried and not server.in_backoff(now_s)
-            for server in self._able(context)
+            for server in self._eligible_servers(context)
         )
 
     async def _wait_for_change(self, limit_s: float) -> None:
--- a/tests/test_engine_choice.py
+++ b/tests/test_engine_choice.py
@@ -58,7 +58,7 @@
     assert choice is not None and choice.server.name == "e2"
 
 
-class OneWithRoom(NoModels):
+class OneEngineWithCapacity(NoModels):
     """Get adapters onto one engine only."""
 
     def __init__(self, name: str) -> None:
@@ -82,7 +82,7 @@
         first = choose(fleet, prompt)
         assert first is not None
         with_room = next(name for name in fleet.servers if name != first.server.name)
-        models = OneWithRoom(with_room)
+        models = OneEngineWithCapacity(with_room)
         catalog = a_catalog(a_route())
         ports = RelayPorts(
             data_centre="a",
--- a/tests/test_engine_plan.py
+++ b/tests/test_engine_plan.py
@@ -15,7 +15,7 @@
 
 LIMITS = EngineLimits(slots=64, adapter_slots=8, first_s=0.6, gap_s=0.25)
 # So many requests in vain make room for a model wherever it fits.
-ASKED_IN_VAIN_AT_MOST = 150.0
+MAX_UNSERVED_REQUESTS = 150.0
 MODELS = {name: a_model(name) for name in ("m0", "m1", "m2", "m3")}
 
 
@@ -175,7 +175,7 @@
     assert (swaps[0].engine, swaps[0].model) == ("e3", "m2")
 
 
-def store_only(name: str, *, load_s: float) -> ModelSpec:
+def slow_loading(name: str, *, load_s: float) -> ModelSpec:
     return replace(a_model(name), load_s=load_s)
 
 
@@ -187,7 +187,7 @@
     # weight store takes as long as demand was reckoned to last, so that nothing
     # was gained by it, and hundreds of requests were refused until the day's
     # end, next to engines that had room.
-    models = MODELS | {"m0": store_only("m0", load_s=load_s)}
+    models = MODELS | {"m0": slow_loading("m0", load_s=load_s)}
     engines = [
         an_engine_view("e1", "m1", "m2", near={}, in_use={"m1": 2, "m2": 1}),
         an_engine_view("e2", "m1", "m3", near={}, in_use={"m1": 2, "m3": 1}),
@@ -196,10 +196,10 @@
         "m0": ModelDemand(0.0, 9, asked_per_s=12.0),
         "m1": ModelDemand(0.3, 0, asked_per_s=9.0),
     }
-    assert "m0" in ticks_until_planned("m0", engines, models, demands, ticks=600)
+    assert "m0" in models_first_planned("m0", engines, models, demands, ticks=600)
 
 
-def ticks_until_planned(
+def models_first_planned(
     model: str,
     engines: list[EngineView],
     models: dict[str, ModelSpec],
@@ -254,7 +254,7 @@
         demands,
         store_room=True,
         limits=LIMITS,
-        owed={"x": ASKED_IN_VAIN_AT_MOST},
+        owed={"x": MAX_UNSERVED_REQUESTS},
     )
     assert "x" in {swap.model for swap in swaps}
 
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -15,10 +15,10 @@
     assert not fleet.put(replace(an_entry("e1"), born_ms=100))
     before = fleet.servers["e1"]
     before.flights["q1"] = Flight(target="m0")
-    before.error_share, before.failures = 0.9, 5
+    before.error_rate, before.failures = 0.9, 5
     assert fleet.put(replace(an_entry("e1", models={}), born_ms=200))
     now = fleet.servers["e1"]
-    assert (now.requests, now.failures, now.error_share) == (0, 0, 0.0)
+    assert (now.requests, now.failures, now.error_rate) == (0, 0, 0.0)
     assert now.held == {}
     assert before.left
 
