--- a/src/rosepath/demand.py
+++ b/src/rosepath/demand.py
@@ -1,4 +1,4 @@
-"""How much each model is asked for, here and at other entry VMs."""
+"""Measure the demand for each model at this and other entry VMs."""
 
 from collections import deque
 from collections.abc import Iterable, Mapping
@@ -6,30 +6,32 @@
 
 from rosepath.caller_call import Prompt
 
-# Demand moves within seconds; a window much shorter than this sees no rare
-# model, a longer one lags.
+# Demand shifts within seconds: a much shorter window misses rarely used
+# models, a longer one lags behind.
 WINDOW_S = 5.0
-# Where demand moves to, a shorter window shows it sooner; it is discounted, as
-# a few requests more in it may be chance.
+# A shorter window shows rising demand sooner. It is discounted, as a few more
+# requests in it may be random.
 RECENT_WINDOW_S = 2.0
 RECENT_LOAD_DISCOUNT = 0.8
-# Of those who wait, nobody knows yet what an engine will have to read.
+# Assumed prefill time of a waiting request, which is not known until an engine
+# is chosen.
 WAITING_REQUEST_PREFILL_S = 0.12
-# Requests a second behind each engine-second of reading a second, where a VM
-# tells of no requests.
+# Assumed requests per second for each engine-second of prefill per second, for
+# VMs that report no request rate.
 REQUESTS_PER_LOAD = 8.0
-# Tokens are written for all running requests at once; prompts are read one
-# after the other.
+# Decoding runs for all requests at once, prefill for one prompt after the
+# other, so only prefill counts as load.
 PREFILL_S_PER_TOKEN = 1 / 38_000
 
 
 @dataclass(frozen=True, slots=True)
 class ModelDemand:
-    """Hold a model's load in engine-seconds a second, and who waits for it.
+    """Hold a model's prefill load and the requests that wait for it.
 
-    `adapters` names the adapters of it that were asked for lately, and
-    `fresh_load` is the load by a shorter window. `asked_per_s` counts every
-    request for it, whether an engine could take it or not.
+    `load` is in engine-seconds per second; `fresh_load` is the same over a
+    shorter window. `adapters` names the model's adapters requested lately.
+    `asked_per_s` counts every request for the model, whether or not an engine
+    could accept it.
     """
 
     load: float
@@ -40,13 +42,13 @@
 
     @property
     def expected_load(self) -> float:
-        """Return the load to plan for, of those who wait too."""
+        """Return the load to plan for, including waiting requests."""
         waiting = self.waiting * WAITING_REQUEST_PREFILL_S / RECENT_WINDOW_S
         return max(self.load, RECENT_LOAD_DISCOUNT * (self.fresh_load + waiting))
 
     @property
     def expected_requests_per_s(self) -> float:
-        """Return the requests a second to plan for."""
+        """Return the requests per second to plan for."""
         if self.asked_per_s <= 0 or self.load <= 0:
             return max(self.asked_per_s, REQUESTS_PER_LOAD * self.expected_load)
         return self.asked_per_s * self.expected_load / self.load
@@ -60,28 +62,29 @@
 
 
 class Demand:
-    """Count the requests of this entry VM, model by model."""
+    """Count the requests that this entry VM receives, by service and model."""
 
     def __init__(self) -> None:
         self._windows: dict[tuple[str, str], _Window] = {}
 
     def ask(self, service: str, prompt: Prompt, *, now_s: float) -> None:
-        """Count a request that came, whatever becomes of it."""
+        """Count an incoming request, whatever its outcome."""
         window = self._windows.setdefault((service, prompt.model), _Window())
         window.asked_s.append(now_s)
 
     def note(
         self, service: str, prompt: Prompt, *, unread_tokens: int, now_s: float
     ) -> None:
-        """Note a request and what of its prompt an engine has to read."""
+        """Record the prompt tokens of a request that an engine has to prefill."""
         work_s = unread_tokens * PREFILL_S_PER_TOKEN
         window = self._windows.setdefault((service, prompt.model), _Window())
         window.work.append((now_s, work_s, prompt.adapter))
 
     def wait(self, service: str, prompt: Prompt, *, step: int, now_s: float) -> None:
-        """Count a request that begins (1) or ends (-1) waiting for a model.
+        """Count a request that starts (1) or stops (-1) waiting for a model.
 
-        It shows at once which adapter it needs; what it reads is noted later.
+        The adapter counts as requested at once; the prefill load is recorded
+        when an engine is chosen.
         """
         window = self._windows.setdefault((service, prompt.model), _Window())
         window.waiting += step
@@ -89,7 +92,7 @@
             window.work.append((now_s, 0.0, prompt.adapter))
 
     def now(self, service: str, *, now_s: float) -> dict[str, ModelDemand]:
-        """Return the demand for each model of a service."""
+        """Return the current demand for each model of a service."""
         demands = {}
         for (name, model), window in self._windows.items():
             while window.work and window.work[0][0] < now_s - WINDOW_S:
@@ -116,7 +119,7 @@
 
 
 def total_demand(parts: Iterable[Mapping[str, ModelDemand]]) -> dict[str, ModelDemand]:
-    """Add up the demand that several entry VMs see."""
+    """Return the sum of the demand at several entry VMs."""
     total: dict[str, ModelDemand] = {}
     for part in parts:
         for model, demand in part.items():
--- a/src/rosepath/demand_history.py
+++ b/src/rosepath/demand_history.py
@@ -1,21 +1,22 @@
-"""What the lease's holder remembers of demand from one plan to the next."""
+"""Demand that the lease holder accumulates from one plan to the next."""
 
 from collections.abc import Collection, Mapping
 from dataclasses import dataclass, field
 
 from rosepath.demand import ModelDemand
 
-# A plan that comes later than this after the one before begins anew: the
-# lease was elsewhere meanwhile.
+# After a longer gap between two plans the counts restart, as another VM held
+# the lease in the meantime.
 MAX_UPDATE_GAP_S = 2.0
 
 
 @dataclass(slots=True, kw_only=True)
 class DemandHistory:
-    """Count what is owed to models that are asked for while nobody holds them.
+    """Count the unserved requests for models that no engine holds.
 
-    What a model is owed grows with each request that comes in vain, so that its
-    load comes to outweigh any other use of the room, however long it takes.
+    The count of a model grows with each request that can't be served, so that
+    loading it eventually outweighs any other use of the memory, however long
+    the load takes.
     """
 
     owed: dict[str, float] = field(default_factory=dict)
@@ -28,7 +29,7 @@
         held: Collection[str],
         now_s: float,
     ) -> None:
-        """Take in the demand of this moment, and which models have a copy."""
+        """Update the counts from the current demand and the models with a replica."""
         elapsed_s = 0.0 if self._updated_s is None else now_s - self._updated_s
         self._updated_s = now_s
         if elapsed_s > MAX_UPDATE_GAP_S:
--- a/src/rosepath/fleet.py
+++ b/src/rosepath/fleet.py
@@ -1,29 +1,29 @@
-"""The table of backend servers, and what this entry VM has seen of each."""
+"""Table of backend servers and their state as observed by this entry VM."""
 
 from collections import Counter, OrderedDict
 from collections.abc import Mapping
 from dataclasses import dataclass, field, replace
 from typing import NamedTuple
 
-# Servers whose latest life is remembered: more than start again in the minutes
-# for which an older entry could still come.
+# Servers whose latest start is remembered: more than restart within the
+# minutes in which an outdated entry may still arrive.
 MAX_REMEMBERED_SERVERS = 5_000
 
 
-# A server that sheds load does so at once; the others wait so long for the request
-# that finds out.
+# How long other requests wait after a probe of a half-open server; a server
+# that sheds load refuses the probe at once.
 HALF_OPEN_PROBE_S = 0.25
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class ServerEntry:
-    """Hold what a backend server says of itself in the store.
+    """Hold the entry that a backend server publishes in the store.
 
-    `born_ms` is the Unix time at which this life of the server began, 0 if it
-    doesn't say; `version` the store's revision at which the entry was written.
-    `models` maps each model it holds to that model's adapters; `in_memory`
-    and `on_disk` name those it can load without the weight store; `sequence`
-    counts the orders it has accepted; `remaining_s` is set if it leaves at
+    `born_ms` is the Unix time at which this server process started, 0 if not
+    given; `version` the store revision at which the entry was written.
+    `models` maps each model it holds to that model's adapters; `in_memory` and
+    `on_disk` name the models it can load without the weight store; `sequence`
+    counts the orders it has accepted; `remaining_s` is set if it shuts down at
     short notice.
     """
 
@@ -44,26 +44,27 @@
 
 @dataclass(slots=True, kw_only=True)
 class Flight:
-    """Hold one request of this entry VM that is at a backend server.
+    """Hold one request of this entry VM in flight at a backend server.
 
-    `unread_tokens` are the prompt tokens it likely has to read before its
-    first token; they count until that came. `target` is the model, with the
-    adapter after a slash if there is one.
+    `unread_tokens` are the prompt tokens it likely has to prefill; they count
+    until the first token arrives. `target` is the model, followed by a slash
+    and the adapter if there is one.
     """
 
     unread_tokens: int = 0
     target: str = ""
-    # When its first event came from this server.
+    # When its first event arrived from this server.
     begun_s: float | None = None
-    # Whether it is suspected of crashing servers, and no other suspect is there.
+    # Whether it is suspected of crashing servers and is the only suspect on
+    # this one.
     isolated: bool = False
 
 
 @dataclass(slots=True, kw_only=True)
 class PeerLoad:
-    """Hold what another entry VM has at a backend server.
+    """Hold the load of another entry VM at a backend server.
 
-    `targets` counts the requests by what they use, as in `Flight`.
+    `targets` counts the requests by target, as in `Flight`.
     """
 
     requests: int = 0
@@ -71,7 +72,7 @@
     targets: Mapping[str, int] = field(default_factory=dict)
 
     def less(self, other: "PeerLoad") -> "PeerLoad":
-        """Return what is left of this load without another."""
+        """Return this load minus another."""
         return PeerLoad(
             requests=max(0, self.requests - other.requests),
             unread_tokens=max(0, self.unread_tokens - other.unread_tokens),
@@ -80,7 +81,7 @@
 
 @dataclass(slots=True, kw_only=True)
 class BackendServer:
-    """Hold one backend server: its entry, and what was seen of it here."""
+    """Hold a backend server's entry and its state as observed by this entry VM."""
 
     entry: ServerEntry
     left: bool = False
@@ -90,19 +91,19 @@
     suspect_until_s: float = 0.0
     # When it last made progress on any request of this VM.
     moved_s: float | None = None
-    # Until when it counts as down: no connection to it came about lately.
+    # Until when it counts as down after a failed connection attempt.
     down_until_s: float = -1e9
     unreached_s: float = -1e9
     latency_s: float = 0.0
     error_rate: float = 0.0
-    # The entry's models, corrected by what an answer or an order showed since.
+    # The entry's models, updated from later answers and orders.
     held: dict[str, set[str]] = field(default_factory=dict)
-    # Until when it is known to be busy with an order: no adapter gets there.
+    # Until when it is known to be busy with an order and to load no adapter.
     ordering_until_s: float = -1e9
-    # Until when it sheds the requests of this VM, as it said with a refusal.
+    # Until when it sheds requests of this VM, as given in its refusal.
     backoff_until_s: float = -1e9
-    # Set from then until it answers without shedding, and when a request last went
-    # there to find out.
+    # Set from a backoff until an answer without load shedding, and when the
+    # last probe request was sent.
     half_open: bool = False
     probed_s: float = -1e9
 
@@ -116,34 +117,35 @@
 
     @property
     def usable(self) -> bool:
-        """Tell whether new work may be sent there."""
+        """Return whether new requests may be sent to this server."""
         return not self.left and not self.entry.draining
 
     def in_backoff(self, now_s: float) -> bool:
-        """Tell whether it sheds load and told this VM to come back later."""
+        """Return whether the server asked this VM to back off."""
         return now_s < self.backoff_until_s
 
     def accepts_requests(self, now_s: float) -> bool:
-        """Tell whether one more request may be sent there now.
+        """Return whether one more request may be sent to this server now.
 
-        After a backoff the server is half-open: one request finds out whether it takes
-        work again. All that waited, sent at once, would only be turned away again.
+        After a backoff the server is half-open: a single probe request shows
+        whether it accepts requests again. Sending all waiting requests at once
+        would only get them refused again.
         """
         probing = self.half_open and now_s < self.probed_s + HALF_OPEN_PROBE_S
         return self.usable and not self.in_backoff(now_s) and not probing
 
     def moved_ago_s(self, now_s: float) -> float | None:
-        """Return how long it has done nothing for this VM, None if it never did."""
+        """Return the time since its last progress for this VM, if there was any."""
         return None if self.moved_s is None else round(now_s - self.moved_s, 3)
 
     @property
     def requests(self) -> int:
-        """Return the requests that all entry VMs have there."""
+        """Return the requests of all entry VMs at this server."""
         return len(self.flights) + sum(load.requests for load in self.peers.values())
 
     @property
     def unread_tokens(self) -> int:
-        """Return the prompt tokens that wait to be read there."""
+        """Return the prompt tokens that wait for prefill on this server."""
         own = sum(flight.unread_tokens for flight in self.flights.values())
         return own + sum(load.unread_tokens for load in self.peers.values())
 
@@ -165,10 +167,10 @@
 
 
 class LeavingServer(NamedTuple):
-    """Name a server that is leaving, and which of its lives that concerns.
+    """Identify a leaving server and the process start that this applies to.
 
-    `gone_at` is a revision of the store at which its entry was not there any
-    more; 0 if its entry says that it drains.
+    `gone_at` is a store revision at which its entry no longer existed, 0 if
+    its entry marks it as draining.
     """
 
     name: str
@@ -177,21 +179,21 @@
 
 
 class Fleet:
-    """Hold every backend server by name, in its latest life."""
+    """Own the table of backend servers, by name, with their latest start."""
 
     def __init__(self) -> None:
         self.servers: dict[str, BackendServer] = {}
         self._born_ms: OrderedDict[str, int] = OrderedDict()
         self._gone_at: OrderedDict[str, int] = OrderedDict()
-        # Up to which life each server is known to leave. Its entry may lapse in an
-        # outage, and come back as it was written before.
+        # Latest start of each server that is known to be leaving. After a
+        # store outage, its lapsed entry may reappear as it was written before.
         self._leaving: OrderedDict[str, int] = OrderedDict()
 
     def note_leaving(self, leaving: LeavingServer) -> bool:
-        """Send no new work to a server that another VM saw leave.
+        """Stop sending new requests to a server that another VM reports as leaving.
 
-        Return whether that is news. A server that started again since stays:
-        who says that it leaves has not heard of its new life yet.
+        Return whether that is new. A server that has restarted since is kept,
+        as the reporting VM has not yet received its new entry.
         """
         server = self.servers.get(leaving.name)
         if leaving.gone_at:
@@ -216,11 +218,11 @@
         ]
 
     def put(self, entry: ServerEntry) -> bool:
-        """Take in an entry; return whether a server began a new life with it.
+        """Apply an entry; return whether it shows that the server restarted.
 
-        What left is not brought back by an older entry: one that was written
-        before another VM found none says nothing new, however late it is read.
-        A new life holds nothing of what was known of the one before.
+        An entry written before another VM found the server gone is outdated,
+        however late it is read, and does not bring the server back. A
+        restarted server starts without the state observed before.
         """
         if entry.born_ms < self._born_ms.get(entry.name, 0):
             return False
@@ -247,14 +249,14 @@
             _remember_latest(self._leaving, name, born_ms)
 
     def _note_started(self, entry: ServerEntry) -> None:
-        """Remember a life for longer than entries of earlier ones may come."""
+        """Remember a start for longer than earlier entries may still arrive."""
         if entry.born_ms:
             _remember_latest(self._born_ms, entry.name, entry.born_ms)
 
     def remove(self, name: str, *, gone_at: int = 0) -> None:
-        """Take out a backend server that left; its running requests go on.
+        """Remove a server that has left; its running requests continue.
 
-        `gone_at` is a revision of the store at which its entry was gone.
+        `gone_at` is a store revision at which its entry no longer existed.
         """
         if gone_at > self._gone_at.get(name, 0):
             _remember_latest(self._gone_at, name, gone_at)
@@ -271,7 +273,7 @@
 
 
 def own_load(server: BackendServer) -> PeerLoad:
-    """Return what this entry VM has at a backend server."""
+    """Return this entry VM's own load at a backend server."""
     flights = server.flights.values()
     return PeerLoad(
         requests=len(flights),
--- a/src/rosepath/model_arrivals.py
+++ b/src/rosepath/model_arrivals.py
@@ -1,4 +1,4 @@
-"""When models that nobody holds will be there, and who may wait for that."""
+"""Track models being loaded and decide which requests wait for them."""
 
 import random
 from collections.abc import Iterable
@@ -6,16 +6,17 @@
 from enum import StrEnum
 from typing import NamedTuple
 
-# Word of a load is renewed with each of the holder's datagrams; without it,
-# the load has ended, or its holder has.
+# Every datagram of the placement lease holder repeats the loads in progress.
+# If none arrives for this long, the loads or the holder are taken to have
+# ended.
 ARRIVALS_TTL_S = 1.0
-# Callers that are told to come back for the same load return spread over this,
-# or the first engine that has the model meets all of them at once.
+# Jitter on the retry time of callers that wait for the same load, so that they
+# don't all reach the first engine with the model at once.
 RETRY_JITTER_S = 0.5
 
 
 class ModelArrival(NamedTuple):
-    """Tell that an engine will have a model in so many seconds."""
+    """Announce that an engine will have a model in this many seconds."""
 
     server: str
     model: str
@@ -23,7 +24,7 @@
 
 
 class WaitDecision(StrEnum):
-    """Say what a request for a model that nobody holds does."""
+    """Enumerate what to do with a request whose model no engine holds."""
 
     KEEP_WAITING = "on"
     REFUSE = "refused"
@@ -31,7 +32,7 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class WaitChoice:
-    """Hold whether a request waits on, and else when its caller may be back."""
+    """Hold whether a request keeps waiting, or when its caller may retry."""
 
     decision: WaitDecision
     retry_after_s: float = 0.0
@@ -39,13 +40,13 @@
 
 @dataclass(slots=True)
 class ModelArrivals:
-    """Hold which models are on their way, by the holder's latest word."""
+    """Own the expected load times of models, as the lease holder last sent them."""
 
     _due_s: dict[str, float] = field(default_factory=dict)
     _updated_s: float = -1e9
 
     def hear(self, arrivals: Iterable[ModelArrival], *, now_s: float) -> None:
-        """Take in the holder's word, which replaces the one before."""
+        """Replace all expected loads by those of the lease holder's latest message."""
         self._updated_s = now_s
         self._due_s.clear()
         for arrival in arrivals:
@@ -54,7 +55,7 @@
             self._due_s[arrival.model] = min(due_s, known_s)
 
     def due_s(self, model: str, *, now_s: float) -> float | None:
-        """Return when a model will be on some engine, if that is known."""
+        """Return when a model will be on some engine, None if that is unknown."""
         if now_s - self._updated_s > ARRIVALS_TTL_S:
             return None
         return self._due_s.get(model)
@@ -67,12 +68,13 @@
     now_s: float,
     rng: random.Random,
 ) -> WaitChoice:
-    """Decide whether a request waits for a model that nobody holds.
+    """Decide whether a request waits for a model that no engine holds.
 
-    One whose model can't be there before its caller's patience ends is told so
-    at once, with the time at which it will be: held back until then, it would
-    be refused all the same, with less time left to come back. Without word of a
-    load it waits on: that it waits is what brings the load about.
+    If the model can't be loaded before the request's wait limit, the request
+    is refused at once with the time at which the model will be available.
+    Holding it until the limit would only leave its caller less time for a
+    retry. If no load is announced the request keeps waiting, because waiting
+    requests count as demand and cause the load.
     """
     if due_s is None or due_s <= wait_until_s:
         return WaitChoice(decision=WaitDecision.KEEP_WAITING)
--- a/src/rosepath/prefixes.py
+++ b/src/rosepath/prefixes.py
@@ -1,4 +1,4 @@
-"""Which replica most likely has a prompt's beginning cached."""
+"""Find the replica that most likely has the beginning of a prompt cached."""
 
 from collections import OrderedDict
 
@@ -22,7 +22,7 @@
 
 
 class PrefixIndex:
-    """Remember where prefixes went, bounded, oldest forgotten first."""
+    """Own a bounded LRU map from prompt prefixes to the replicas that served them."""
 
     def __init__(self, *, max_entries: int = MAX_ENTRIES) -> None:
         self._holders: OrderedDict[int, str] = OrderedDict()
@@ -32,7 +32,7 @@
         return len(self._holders)
 
     def find(self, keys: list[int]) -> str | None:
-        """Return the replica that last took the longest known prefix."""
+        """Return the replica that last served the longest known prefix."""
         for key in reversed(keys):
             holder = self._holders.get(key)
             if holder is not None:
@@ -40,7 +40,7 @@
         return None
 
     def note(self, keys: list[int], replica: str) -> None:
-        """Note that a replica now has these prefixes."""
+        """Record that a replica now has these prefixes cached."""
         for key in keys:
             self._holders[key] = replica
             self._holders.move_to_end(key)
--- a/src/rosepath/prompt_caches.py
+++ b/src/rosepath/prompt_caches.py
@@ -1,26 +1,26 @@
-"""What this entry VM believes each engine has kept of prompts."""
+"""Estimate which prompt parts each engine has cached."""
 
 from collections import OrderedDict
 
 from rosepath.caller_call import Prompt
 from rosepath.fleet import BackendServer
 
-# Beliefs kept an engine; the engines' memory holds fewer parts than this.
+# Parts remembered per engine; the cache of an engine holds fewer.
 MAX_PARTS_PER_ENGINE = 400
 
 
 class PromptCaches:
-    """Remember which parts of prompts were read where, newest last.
+    """Own the estimated cache contents of each engine, most recent last.
 
-    An engine keeps a part only with all parts before it, so the count stops
-    at the first that is not believed to be there.
+    An engine caches a part only together with all parts before it, so the
+    count of cached tokens stops at the first part that is not remembered.
     """
 
     def __init__(self) -> None:
         self._parts_by_engine: dict[str, OrderedDict[tuple[str, str], None]] = {}
 
     def cached_tokens(self, server: BackendServer, prompt: Prompt) -> int:
-        """Return the tokens of a prompt that an engine likely has."""
+        """Return the tokens of a prompt that an engine likely has cached."""
         kept = self._parts_by_engine.get(server.name)
         if not kept:
             return 0
@@ -32,7 +32,7 @@
         return min(tokens, prompt.input_tokens)
 
     def note_read(self, server: BackendServer, prompt: Prompt) -> None:
-        """Note that an engine reads a prompt now."""
+        """Record that an engine prefills a prompt now."""
         kept = self._parts_by_engine.setdefault(server.name, OrderedDict())
         for part in prompt.parts:
             kept[(prompt.target, part.part_id)] = None
@@ -41,7 +41,7 @@
             kept.popitem(last=False)
 
     def forget_model(self, server: str, model: str) -> None:
-        """Note that an engine dropped a model, and its prompts with it."""
+        """Discard the cached prompts of a model that an engine unloaded."""
         kept = self._parts_by_engine.get(server)
         if kept is None:
             return
@@ -49,5 +49,5 @@
             del kept[key]
 
     def forget(self, server: str) -> None:
-        """Note that an engine is gone."""
+        """Discard the cached prompts of an engine that is gone."""
         self._parts_by_engine.pop(server, None)
--- a/src/rosepath/rendezvous.py
+++ b/src/rosepath/rendezvous.py
@@ -1,4 +1,4 @@
-"""Rendezvous hashing: every node picks the same few of many, without talking."""
+"""Rendezvous hashing: all nodes choose the same members without coordination."""
 
 from collections.abc import Iterable
 
@@ -11,10 +11,10 @@
 
 
 def ranked(key: str, members: Iterable[str]) -> list[str]:
-    """Return the members, best first."""
+    """Return the members, highest weight first."""
     return sorted(members, key=lambda member: (-score(key, member), member))
 
 
 def top(key: str, members: Iterable[str], count: int) -> list[str]:
-    """Return the best few members."""
+    """Return the `count` members of highest weight."""
     return ranked(key, members)[:count]
--- a/src/rosepath/server_choice.py
+++ b/src/rosepath/server_choice.py
@@ -1,32 +1,32 @@
-"""Which server of a plain service takes a request."""
+"""Choose a backend server for a request to a service without engines."""
 
 import random
 from collections.abc import Collection, Iterable
 
 from rosepath.fleet import BackendServer
 
-# Between data centres a request takes a millisecond more both ways; a server
-# with as many requests more than this per slot is slower than that.
+# A request to another data centre takes a millisecond longer each way. A local
+# server with this many more requests per slot is slower than that.
 REMOTE_PENALTY = 0.1
 
-# A server that answers every other request with an error is passed over for
-# any that has a free slot.
+# A server that answers every other request with an error is chosen after any
+# server with a free slot.
 ERROR_PENALTY = 2.0
 ERROR_RATE_SMOOTHING = 0.15
 
-# A server that takes no connection is tried again after this; its entry stays
-# for three heartbeats after its end.
+# A server that refuses connections is tried again after this time; its entry
+# stays in the store for three heartbeats after the server ends.
 DOWN_S = 0.7
 SUSPECT_FIRST_S = 0.5
 SUSPECT_MAX_S = 4.0
-# Plain failures happen to good servers, too; this many in a row do not.
+# Healthy servers fail occasionally, but not this many times in a row.
 TOLERATED_FAILURES = 3
 
 
 def healthy_servers(
     servers: Iterable[BackendServer], *, cut_off: Collection[str], now_s: float
 ) -> list[BackendServer]:
-    """Return the servers that did not fail lately and can be reached."""
+    """Return the reachable servers without a recent failure."""
     return [
         server
         for server in servers
@@ -43,7 +43,7 @@
     now_s: float,
     rng: random.Random,
 ) -> BackendServer | None:
-    """Choose the least busy server; one that failed lately goes behind."""
+    """Choose the least busy server, preferring those without a recent failure."""
     eligible = [
         server
         for server in servers
@@ -62,7 +62,7 @@
 
 
 def note_success(server: BackendServer, *, took_s: float) -> None:
-    """Restore trust and learn how long an answer takes."""
+    """Clear the failure state and update the error rate and the latency average."""
     server.failures = 0
     server.suspect_until_s = 0.0
     server.error_rate -= ERROR_RATE_SMOOTHING * server.error_rate
@@ -70,31 +70,31 @@
 
 
 def note_backoff(server: BackendServer, *, retry_after_s: float, now_s: float) -> None:
-    """Note that a server sheds load, and after how long to come back."""
+    """Record that a server sheds load, and when requests to it may resume."""
     until_s = now_s + retry_after_s
     server.backoff_until_s = max(server.backoff_until_s, until_s)
     server.half_open = True
 
 
 def note_answer(server: BackendServer, *, now_s: float) -> None:
-    """Note that a server answers without shedding load."""
+    """Record an answer without load shedding, which ends the half-open state."""
     if not server.in_backoff(now_s):
         server.half_open = False
 
 
 def note_unreached(server: BackendServer, *, now_s: float) -> None:
-    """Note that no connection to a server came about."""
+    """Record a failed connection attempt."""
     server.unreached_s = now_s
     server.down_until_s = now_s + DOWN_S
 
 
 def note_error(server: BackendServer) -> None:
-    """Learn that a server answered with an error of its own."""
+    """Raise the error rate after an error response from the server itself."""
     server.error_rate += ERROR_RATE_SMOOTHING * (1.0 - server.error_rate)
 
 
 def note_failure(server: BackendServer, *, now_s: float, silent: bool) -> None:
-    """Put a server behind the others for a while, longer each time."""
+    """Record a failure and suspect the server, longer after each failure in a row."""
     server.failures += 1
     note_error(server)
     if not silent and server.failures < TOLERATED_FAILURES:
--- a/src/rosepath/server_picker.py
+++ b/src/rosepath/server_picker.py
@@ -1,4 +1,4 @@
-"""Find a server for a request, waiting a while where there is none."""
+"""Choose a backend server for a request, waiting briefly if there is none."""
 
 import asyncio
 import math
@@ -22,30 +22,31 @@
 from rosepath.server_choice import choose_server, healthy_servers
 from rosepath.suspects import Suspects
 
-# How long a request waits for a server to become known before it is refused.
+# How long a request to a service without engines waits for a server before it
+# is refused.
 NO_SERVER_WAIT_S = 0.5
-# Of the time until its caller leaves, what a generation may spend waiting for
-# an engine that holds its model; the rest is for the engine to begin.
+# Share of the caller's patience that a generation may spend waiting for an
+# engine with its model; the rest is for the engine to start.
 MAX_WAIT_SHARE = 0.85
-# A caller that is told to come back sooner does so in vain.
+# An earlier retry would be refused again.
 QUARANTINED_RETRY_AFTER_S = 60.0
 QUARANTINED_CODE = "crashes_servers"
-# An adapter is there after some 20 ms; a holder that does not answer by then
-# may be gone, and its successor is asked.
+# An adapter loads in about 20 ms. A lease holder that does not answer within
+# this time may have failed, and its successor is asked.
 ADAPTER_WAIT_S = 0.4
 
 _log = get_logger()
 
 
 class ServerPicker:
-    """Pick servers, get adapters there, and let demand show who waits."""
+    """Choose servers, load adapters onto them and count waiting requests as demand."""
 
     def __init__(self, ports: RelayPorts, suspects: Suspects) -> None:
         self._ports = ports
         self._suspects = suspects
 
     async def choose(self, context: RequestContext) -> tuple[BackendServer, Flight]:
-        """Choose a server, waiting a little for one if there is none."""
+        """Choose a server, waiting up to the request's limit if there is none."""
         started_s = self._now_s()
         wait_until_s = self._wait_limit_s(context, started_s)
         if context.service.engine is not None:
@@ -60,9 +61,9 @@
     def _wait_limit_s(context: RequestContext, started_s: float) -> float:
         """Return until when a request may wait for a server.
 
-        A caller of a stream leaves if its first event is too long in coming; an
-        engine needs some of that time. What has no way back is lost if it is
-        given up, and waits as long as its caller does.
+        The caller of a stream disconnects if the first event takes too long,
+        and the engine needs part of that time. A request that would be lost if
+        refused waits until its deadline.
         """
         if context.lost_if_refused:
             return context.deadline_s
@@ -74,7 +75,7 @@
 
     @contextmanager
     def _counted_waiting(self, context: RequestContext) -> Iterator[Callable[[], None]]:
-        """Let demand show that a request waits, from its first wait on."""
+        """Provide a callback that counts the request as waiting until exit."""
         prompt = context.call.prompt
         models, service = self._ports.models, context.service.name
         counted = False
@@ -111,7 +112,7 @@
                 raise _refused(
                     context,
                     "no_server",
-                    "no server can take the request now",
+                    "no server can accept the request now",
                     back_s=RETRY_AFTER_S,
                 )
             self._refuse_if_late(context, started_s, wait_until_s)
@@ -119,11 +120,11 @@
             await self._wait_for_change(min(wait_until_s - now_s, 0.1))
 
     def _stop_limit_s(self, context: RequestContext) -> float:
-        """Return until when a planned stop lets a request wait.
+        """Return until when a planned shutdown lets a request wait.
 
-        One that was never sent is refused unrun and served by another VM. A
-        stream that was broken off to go on elsewhere can't be: refused, it is
-        lost to its caller.
+        A request that was never sent is refused as not run and served by
+        another VM. A stream that was interrupted to resume elsewhere has no
+        such limit: if refused, it is lost to its caller.
         """
         return math.inf if context.lost_if_refused else self._ports.wait_limit_s()
 
@@ -139,14 +140,14 @@
         raise _refused(
             context,
             QUARANTINED_CODE,
-            "servers crashed each time that this request was run",
+            "servers crashed each time this request ran",
             back_s=QUARANTINED_RETRY_AFTER_S,
         )
 
     def _refuse_if_late(
         self, context: RequestContext, started_s: float, wait_until_s: float
     ) -> None:
-        """Refuse at once what can't be served while its caller waits."""
+        """Refuse a request that can't be served while its caller waits."""
         if context.lost_if_refused:
             return
         prompt, now_s = context.call.prompt, self._now_s()
@@ -158,7 +159,7 @@
         elif eligible and all(server.in_backoff(now_s) for server in eligible):
             due_s = min(server.backoff_until_s for server in eligible)
             code = "servers_back_off"
-            why = "all servers that could take the request shed load"
+            why = "all servers that could serve the request are shedding load"
         else:
             return
         choice = choose_wait(
@@ -169,7 +170,7 @@
             raise _refused(context, code, why, back_s=choice.retry_after_s)
 
     def _eligible_servers(self, context: RequestContext) -> list[BackendServer]:
-        """Return the servers that could take a request, now or soon."""
+        """Return the servers that could serve a request, now or soon."""
         prompt, spec = context.call.prompt, context.service.engine
         return [
             server
@@ -198,7 +199,8 @@
                 rng=ports.rng,
             )
             if server is None and not context.not_run:
-                # It left a slow one, and no other took it: back to any of them.
+                # The request left a slow server and no other server accepted
+                # it: any server may be tried again.
                 context.tried.clear()
             return None if server is None else (server, Flight())
         choice = await self._pick_engine(
@@ -225,10 +227,11 @@
         spec: EngineSpec,
         avoided: frozenset[str],
     ) -> EngineChoice | None:
-        """Choose an engine that has the prompt's adapter, or can be given it.
+        """Choose an engine that has the prompt's adapter, or load it onto one.
 
-        One that can't now is passed over for the next: asked again and again,
-        it would keep a request from others that have room.
+        An engine that can't load the adapter now is excluded for this call;
+        asking it repeatedly would keep the request from other engines with
+        capacity.
         """
         ports = self._ports
         started_s = self._now_s()
@@ -248,7 +251,8 @@
                 rng=ports.rng,
             )
             if choice is None and rejected == avoided:
-                # All that hold the model refused it; it may be theirs again soon.
+                # All engines with the model refused the request; they may
+                # accept it again soon.
                 context.tried.clear()
             if choice is None or holds_adapter(choice.server, prompt):
                 return choice
@@ -261,7 +265,7 @@
         return None
 
     def has_room_besides(self, context: RequestContext, server: BackendServer) -> bool:
-        """Tell whether another server is known to have a place for a request."""
+        """Return whether another server is known to have capacity for a request."""
         ports, now_s = self._ports, self._now_s()
         prompt, spec = context.call.prompt, context.service.engine
 
@@ -282,7 +286,7 @@
         return bool(healthy_servers(others, cut_off=ports.cut_off(), now_s=now_s))
 
     def has_untried(self, context: RequestContext) -> bool:
-        """Tell whether there is a server that a request has not been sent to."""
+        """Return whether there is a server that a request has not been sent to."""
         now_s = self._now_s()
         return any(
             server.name not in context.tried and not server.in_backoff(now_s)
@@ -304,7 +308,7 @@
 def _refused(
     context: RequestContext, code: str, message: str, *, back_s: float | None
 ) -> RefusalError:
-    """Build a refusal that says "not run" only of what certainly was not."""
+    """Build a refusal that reports "not run" only if the request certainly was not."""
     if context.not_run:
         return refuse(503, code, message, step=Step.ROUTE, retry_after_s=back_s)
     return refuse(502, code, message, step=Step.ROUTE, run=Run.UNKNOWN)
--- a/tests/test_engine_choice.py
+++ b/tests/test_engine_choice.py
@@ -1,4 +1,4 @@
-"""Which engine takes a generation, and what happens if it can't."""
+"""Tests of the choice of an engine and of engines that load no adapter."""
 
 import asyncio
 import math
@@ -46,9 +46,10 @@
     )
 
 
-def test_an_engine_whose_adapters_are_all_in_use_is_passed_over() -> None:
-    # Its places are taken by streams that run for seconds. It was chosen for
-    # its shorter queue, could not take the adapter, and was chosen again.
+def test_engine_with_all_adapter_slots_in_use_is_not_chosen() -> None:
+    # All adapter slots of e1 are used by streams that run for seconds. Chosen
+    # for its shorter queue, it could not load the adapter and was chosen
+    # again.
     fleet = a_fleet("e1", "e2")
     for number in range(2):
         flight = Flight(target=f"m0/a{number}")
@@ -59,7 +60,7 @@
 
 
 class OneEngineWithCapacity(NoModels):
-    """Get adapters onto one engine only."""
+    """Load adapters onto one engine only."""
 
     def __init__(self, name: str) -> None:
         self.name = name
@@ -72,10 +73,10 @@
         return server.name == self.name
 
 
-def test_an_engine_that_takes_no_adapter_does_not_keep_the_request() -> None:
-    # The holder answers that one engine can't take the adapter now. Asked for
-    # the same engine every tenth of a second, requests waited until they were
-    # refused, next to an engine with room.
+def test_request_moves_on_from_engine_that_rejects_the_adapter() -> None:
+    # The lease holder reports that an engine can't load the adapter now.
+    # Retrying the same engine every 0.1 s kept requests waiting until they
+    # were refused, although another engine had capacity.
     async def run() -> None:
         fleet = a_fleet("e1", "e2", "e3")
         prompt = a_prompt(adapter="a7")
--- a/tests/test_engine_plan.py
+++ b/tests/test_engine_plan.py
@@ -1,4 +1,4 @@
-"""Which model is loaded where, by demand and what it would cost others."""
+"""Tests of planned model swaps: the model, the engine and the victims."""
 
 from dataclasses import replace
 
@@ -14,7 +14,7 @@
 from rosepath.engine_strain import EngineLimits
 
 LIMITS = EngineLimits(slots=64, adapter_slots=8, first_s=0.6, gap_s=0.25)
-# So many requests in vain make room for a model wherever it fits.
+# After this many unserved requests, a model displaces others wherever it fits.
 MAX_UNSERVED_REQUESTS = 150.0
 MODELS = {name: a_model(name) for name in ("m0", "m1", "m2", "m3")}
 
@@ -33,7 +33,7 @@
     )
 
 
-def test_a_model_that_somebody_waits_for_takes_the_place_of_an_idle_one() -> None:
+def test_model_with_waiting_requests_replaces_an_idle_one() -> None:
     swaps = plan(
         an_engine_view("e1", "m0", "m1"),
         demands={"m0": ModelDemand(0.5, 0), "m2": ModelDemand(0.0, 3)},
@@ -41,9 +41,10 @@
     assert [(swap.model, swap.victims) for swap in swaps] == [("m2", ("m1",))]
 
 
-def test_a_model_in_use_is_not_unloaded_for_one_more_copy() -> None:
-    # An unload waits for the running requests of its model, and its engine
-    # takes no other order until they end: adapters stood still for seconds.
+def test_model_in_use_is_not_unloaded_for_another_replica() -> None:
+    # An unload waits for the running requests of its model, and the engine
+    # accepts no other order until they end, which blocked adapter loads for
+    # seconds.
     view = an_engine_view("e1", "m1", "m2", in_use={"m1": 3, "m2": 3})
     other = an_engine_view("e2", "m0", "m3", in_use={"m0": 1, "m3": 1})
     demands = {name: ModelDemand(0.05, 0) for name in ("m1", "m2", "m3")}
@@ -51,7 +52,7 @@
     assert plan(view, other, demands=demands) == []
 
 
-def test_a_load_that_is_on_its_way_is_not_ordered_again() -> None:
+def test_load_in_progress_is_not_ordered_again() -> None:
     swaps = plan(
         an_engine_view("e1", "m0", settled=False, coming="m2"),
         an_engine_view("e2", "m1", "m3"),
@@ -60,9 +61,9 @@
     assert swaps == []
 
 
-def test_copies_on_engines_that_take_no_order_now_still_count() -> None:
-    # Left out while a report was due, their models looked lost, and were
-    # loaded a second time on the next engine.
+def test_replicas_on_engines_that_accept_no_orders_count() -> None:
+    # When these engines were left out of the plan while a report was due,
+    # their models counted as lost and were loaded again on another engine.
     swaps = plan(
         an_engine_view("e1", "m0", "m1", settled=False),
         an_engine_view("e2", "m2", "m3"),
@@ -71,7 +72,7 @@
     assert swaps == []
 
 
-def test_quiet_engines_keep_what_they_hold() -> None:
+def test_idle_engines_keep_their_models() -> None:
     swaps = plan(
         an_engine_view("e1", "m0", "m1"),
         an_engine_view("e2", "m2", "m3"),
@@ -80,7 +81,7 @@
     assert swaps == []
 
 
-def test_a_model_with_more_adapters_than_places_gets_another_copy() -> None:
+def test_model_with_more_adapters_than_slots_gets_another_replica() -> None:
     adapters = frozenset(f"a{number}" for number in range(12))
     swaps = plan(
         an_engine_view("e1", "m0"),
@@ -90,21 +91,21 @@
     assert ("e2", "m0") in {(swap.engine, swap.model) for swap in swaps}
 
 
-def test_without_room_at_the_weight_store_only_near_models_are_loaded() -> None:
+def test_without_weight_store_capacity_only_local_models_are_loaded() -> None:
     view = an_engine_view("e1", "m0", near={})
     assert plan(view, demands={"m2": ModelDemand(0, 9)}, store_room=False) == []
 
 
-def test_only_some_engines_swap_at_the_same_time() -> None:
+def test_number_of_engines_swapping_at_once_is_limited() -> None:
     engines = [an_engine_view(f"e{number}") for number in range(6)]
     swaps = plan(*engines, demands={})
     assert len(swaps) == 3
 
 
-def test_two_busy_models_do_not_stay_on_one_engine() -> None:
-    # Demand moves to two models of the same engine. Each alone it would bear;
-    # both together, all first tokens there came seconds late while the other
-    # engines had nothing to do, as no model by itself looked too busy.
+def test_two_busy_models_on_one_engine_are_spread() -> None:
+    # Demand shifts to two models on one engine that could serve either alone.
+    # With both, every first token there was seconds late while the other
+    # engines were idle, because neither model looked too busy by itself.
     engines = [
         an_engine_view("e1", "m0", "m1"),
         an_engine_view("e2", "m2"),
@@ -115,27 +116,27 @@
     assert moved & {"m0", "m1"}
 
 
-def test_a_crowd_for_one_model_goes_before_a_single_request_for_another() -> None:
-    # Twenty wait for a model that a strained engine holds, one for a model that
-    # nobody holds, and one engine at a time may swap: served first, the one
-    # kept the twenty waiting for as long as two loads take.
+def test_many_waiting_requests_go_before_a_single_one() -> None:
+    # Twenty requests wait for a model on an overloaded engine, one for a model
+    # that no engine holds, and only one engine at a time may swap. Loading the
+    # second model first kept the twenty waiting for two loads.
     engines = [an_engine_view("e1", "m0"), an_engine_view("e2", "m1")]
     demands = {"m0": ModelDemand(0.9, 20), "m2": ModelDemand(0.0, 1)}
     assert [swap.model for swap in plan(*engines, demands=demands)] == ["m0"]
 
 
-def test_a_swap_is_planned_with_what_the_ones_before_it_change() -> None:
-    # Ten idle engines must not all take a copy of the one busy model.
+def test_swap_is_planned_on_the_state_after_the_previous_ones() -> None:
+    # Ten idle engines must not all load a replica of the one busy model.
     engines = [an_engine_view("e0", "m0")]
     engines += [an_engine_view(f"e{number}", "m1") for number in range(1, 11)]
     swaps = plan(*engines, demands={"m0": ModelDemand(0.7, 0)})
     assert 1 <= sum(swap.model == "m0" for swap in swaps) <= 2
 
 
-def test_models_that_fit_nowhere_do_not_keep_others_from_their_copies() -> None:
-    # Of 171 models, more are waited for than are weighed for one swap, and no
-    # engine can take any of those. Looked at first and alone, they kept busy
-    # models on one engine each while most engines idled.
+def test_models_that_fit_nowhere_do_not_block_other_replicas() -> None:
+    # More models with waiting requests than are considered for one swap fit on
+    # no engine. When only those were examined, each busy model kept a single
+    # replica while most engines were idle.
     hopeless = {
         f"x{number}": a_model(f"x{number}", size_mb=3e5) for number in range(20)
     }
@@ -151,8 +152,8 @@
     assert [(swap.engine, swap.model) for swap in swaps] == [("e2", "m0")]
 
 
-def test_a_second_copy_goes_where_the_data_centre_has_none() -> None:
-    # A data centre that is cut off serves only what its own engines hold.
+def test_second_replica_goes_to_a_data_centre_without_one() -> None:
+    # A data centre that is cut off serves only the models on its own engines.
     engines = [
         an_engine_view("e1", "m0", data_centre="a"),
         an_engine_view("e2", "m1", data_centre="a"),
@@ -162,10 +163,10 @@
     assert (first.engine, first.model) == ("e3", "m0")
 
 
-def test_a_crowd_gets_the_model_where_it_is_there_first() -> None:
-    # A model that nine wait for is loaded where nothing has to end before and
-    # it is on disk; from the store, or after running requests, they would wait
-    # as long again.
+def test_model_is_loaded_where_the_load_finishes_first() -> None:
+    # Nine requests wait for a model. It is loaded on the engine that has it on
+    # disk and nothing running; a load from the weight store, or after running
+    # requests end, would double the wait.
     engines = [
         an_engine_view("e1", "m1", "m3", near={}),
         an_engine_view("e2", "m1", "m3", in_use={"m1": 1, "m3": 1}),
@@ -180,13 +181,13 @@
 
 
 @pytest.mark.parametrize("load_s", [0.5, 5.8, 30.0, 300.0])
-def test_a_model_that_is_asked_for_is_loaded_however_long_that_takes(
+def test_requested_model_is_loaded_however_long_the_load_takes(
     load_s: float,
 ) -> None:
-    # A spot engine leaves with the only copy of a busy model. Its load from the
-    # weight store takes as long as demand was reckoned to last, so that nothing
-    # was gained by it, and hundreds of requests were refused until the day's
-    # end, next to engines that had room.
+    # A spot engine leaves with the only replica of a busy model. Loading it
+    # from the weight store takes as long as the planning horizon, so the load
+    # had no gain, and hundreds of requests were refused although other engines
+    # had room.
     models = MODELS | {"m0": slow_loading("m0", load_s=load_s)}
     engines = [
         an_engine_view("e1", "m1", "m2", near={}, in_use={"m1": 2, "m2": 1}),
@@ -232,12 +233,12 @@
     waiting=st.integers(0, 3),
     running=st.integers(0, 20),
 )
-# A load so small that the time to read it rounds to nothing.
+# A load so small that its prefill time rounds to zero.
 @example(load_s=1.0, size_mb=1_000.0, others=[5e-324], waiting=0, running=0)
-def test_whatever_its_size_and_load_an_asked_for_model_that_fits_is_loaded(
+def test_requested_model_that_fits_is_loaded_whatever_its_cost(
     load_s: float, size_mb: float, others: list[float], waiting: int, running: int
 ) -> None:
-    # That every declared model stays reachable is a promise, not a price.
+    # Every declared model must stay reachable, whatever its load costs.
     models = MODELS | {"x": replace(a_model("x", size_mb=size_mb), load_s=load_s)}
     engines = [
         an_engine_view("e1", "m0", "m1", near={}, in_use={"m0": running, "m1": 1}),
@@ -259,7 +260,7 @@
     assert "x" in {swap.model for swap in swaps}
 
 
-def test_what_is_owed_ends_with_a_copy_and_with_the_lease() -> None:
+def test_unserved_requests_reset_with_a_replica_or_a_lost_lease() -> None:
     history = DemandHistory()
     demands = {"m0": ModelDemand(0.0, 2, asked_per_s=3.0)}
     for now_s in (0.0, 1.0, 2.0):
@@ -272,10 +273,10 @@
     assert history.owed == {}
 
 
-def test_engines_that_came_back_empty_all_load_at_once() -> None:
-    # Four of six engines crash and come back empty. Half of all loaded at a
-    # time, for 5.8 s each from the store, while the rest stood empty and most
-    # requests for the busy models were refused.
+def test_engines_that_restarted_empty_all_load_at_once() -> None:
+    # Four of six engines crash and restart empty. When only half of all
+    # engines could load at a time, for 5.8 s each from the weight store, the
+    # rest stayed empty and most requests for the busy models were refused.
     engines = [an_engine_view(f"e{number}") for number in range(4)]
     engines += [
         an_engine_view("e4", "m0", settled=False),
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -1,4 +1,4 @@
-"""What is believed of a backend server through its lives."""
+"""Tests of the server table across server restarts and departures."""
 
 from dataclasses import replace
 
@@ -7,24 +7,24 @@
 from rosepath.fleet import Fleet, Flight, LeavingServer
 
 
-def test_a_server_that_started_again_starts_anew() -> None:
-    # An engine crashes behind a cut and starts again under its name, empty. Its
-    # former models, errors and running requests were still believed, and
-    # requests went to models that it no longer had.
+def test_restarted_server_starts_with_fresh_state() -> None:
+    # An engine crashes in a cut-off data centre and restarts empty under its
+    # name. Keeping its former models, errors and running requests sent
+    # requests to models that it no longer held.
     fleet = Fleet()
     assert not fleet.put(replace(an_entry("e1"), born_ms=100))
-    before = fleet.servers["e1"]
-    before.flights["q1"] = Flight(target="m0")
-    before.error_rate, before.failures = 0.9, 5
+    previous = fleet.servers["e1"]
+    previous.flights["q1"] = Flight(target="m0")
+    previous.error_rate, previous.failures = 0.9, 5
     assert fleet.put(replace(an_entry("e1", models={}), born_ms=200))
-    now = fleet.servers["e1"]
-    assert (now.requests, now.failures, now.error_rate) == (0, 0, 0.0)
-    assert now.held == {}
-    assert before.left
+    restarted = fleet.servers["e1"]
+    assert (restarted.requests, restarted.failures, restarted.error_rate) == (0, 0, 0.0)
+    assert restarted.held == {}
+    assert previous.left
 
 
-def test_an_entry_of_a_former_life_is_stale() -> None:
-    # A heartbeat of the former life is read after the first of the new one.
+def test_entry_from_before_a_restart_is_ignored() -> None:
+    # A heartbeat of the former process is read after the first of the new one.
     fleet = Fleet()
     fleet.put(replace(an_entry("e1", models={}), born_ms=200))
     assert not fleet.put(replace(an_entry("e1"), born_ms=100))
@@ -35,9 +35,10 @@
     assert fleet.servers == {}
 
 
-def test_the_drain_of_a_former_life_does_not_bind_the_next() -> None:
-    # Another VM that has not heard of the new life goes on saying that the
-    # server leaves. Taken at its word, it would get no request ever again.
+def test_drain_from_before_a_restart_is_ignored() -> None:
+    # Another VM that has not received the restarted server's entry still
+    # reports that it is leaving. Applying that report would keep all requests
+    # from it.
     fleet = Fleet()
     fleet.put(replace(an_entry("e1", draining=True), born_ms=100))
     fleet.put(replace(an_entry("e1"), born_ms=200))
--- a/tests/test_model_arrivals.py
+++ b/tests/test_model_arrivals.py
@@ -1,4 +1,4 @@
-"""Who waits for a model that nobody holds, and who is told when to be back."""
+"""Tests of which requests wait for a model load and which are told to retry."""
 
 import random
 
@@ -22,35 +22,35 @@
     )
 
 
-def test_a_model_that_comes_in_time_is_waited_for() -> None:
+def test_request_waits_for_a_model_that_loads_in_time() -> None:
     assert choose(11.2).decision is WaitDecision.KEEP_WAITING
 
 
-def test_a_model_that_comes_too_late_is_not_waited_for() -> None:
-    # A model is on its way from the weight store for 5.8 s, its caller leaves
-    # after 2 s. Held for 1.7 s and then told to come back in 0.5 s, the caller
-    # was refused a second time and had used up its one repeat.
+def test_request_is_refused_if_its_model_loads_too_late() -> None:
+    # A load from the weight store takes 5.8 s and the caller disconnects after
+    # 2 s. Held for 1.7 s and then told to retry in 0.5 s, the caller was
+    # refused again and had used up its only retry.
     choice = choose(15.0)
     assert choice.decision is WaitDecision.REFUSE
     assert 5.0 <= choice.retry_after_s <= 5.0 + RETRY_JITTER_S
 
 
-def test_callers_for_one_load_do_not_return_together() -> None:
+def test_retry_times_for_one_load_are_spread() -> None:
     retry_after_s = sorted(choose(15.0, seed=seed).retry_after_s for seed in range(50))
     assert retry_after_s[-1] - retry_after_s[0] > 0.5 * RETRY_JITTER_S
 
 
-def test_without_word_of_a_load_a_request_waits_for_it() -> None:
-    # Rare models are asked for by callers who have 16 s, while all engines that
-    # could take one are in other swaps: refused after 0.6 s, a fourth of them
-    # were refused twice, and nobody waited by whom their model was planned.
+def test_request_waits_while_no_load_is_announced() -> None:
+    # Callers of rare models wait up to 16 s while all engines that could load
+    # one are busy with other swaps. Refused after 0.6 s, a quarter were
+    # refused twice, and no waiting request remained to get the model loaded.
     assert choose(None, now_s=11.6).decision is WaitDecision.KEEP_WAITING
 
 
-def test_the_holders_word_replaces_the_one_before_and_ends() -> None:
+def test_announced_loads_replace_earlier_ones_and_expire() -> None:
     arrivals = ModelArrivals()
-    word = (ModelArrival("e1", "m0", 4.0), ModelArrival("e2", "m0", 2.0))
-    arrivals.hear(word, now_s=100.0)
+    announced = (ModelArrival("e1", "m0", 4.0), ModelArrival("e2", "m0", 2.0))
+    arrivals.hear(announced, now_s=100.0)
     assert arrivals.due_s("m0", now_s=100.1) == 102.0
     assert arrivals.due_s("m1", now_s=100.1) is None
     assert arrivals.due_s("m0", now_s=100.2 + ARRIVALS_TTL_S) is None
