--- a/src/rosepath/demand.py
+++ b/src/rosepath/demand.py
@@ -26,18 +26,16 @@
 
 @dataclass(frozen=True, slots=True)
 class ModelDemand:
-    """Hold a model's prefill load and the requests that wait for it.
-
-    `load` is in engine-seconds per second; `fresh_load` is the same over a
-    shorter window. `adapters` names the model's adapters requested lately.
-    `asked_per_s` counts every request for the model, whether or not an engine
-    could accept it.
-    """
+    """Hold a model's prefill load and the requests that wait for it."""
 
+    # Prefill load, in engine-seconds per second.
     load: float
     waiting: int
+    # The model's adapters that were requested lately.
     adapters: frozenset[str] = frozenset()
+    # The load over a shorter window.
     fresh_load: float = 0.0
+    # All requests for the model, whether or not an engine could accept them.
     asked_per_s: float = 0.0
 
     @property
@@ -56,8 +54,8 @@
 
 @dataclass(slots=True, kw_only=True)
 class _Window:
-    work: deque[tuple[float, float, str]] = field(default_factory=deque)
-    asked_s: deque[float] = field(default_factory=deque)
+    prefills: deque[tuple[float, float, str]] = field(default_factory=deque)
+    requested_s: deque[float] = field(default_factory=deque)
     waiting: int = 0
 
 
@@ -70,15 +68,15 @@
     def ask(self, service: str, prompt: Prompt, *, now_s: float) -> None:
         """Count an incoming request, whatever its outcome."""
         window = self._windows.setdefault((service, prompt.model), _Window())
-        window.asked_s.append(now_s)
+        window.requested_s.append(now_s)
 
     def note(
         self, service: str, prompt: Prompt, *, unread_tokens: int, now_s: float
     ) -> None:
         """Record the prompt tokens of a request that an engine has to prefill."""
-        work_s = unread_tokens * PREFILL_S_PER_TOKEN
+        prefill_s = unread_tokens * PREFILL_S_PER_TOKEN
         window = self._windows.setdefault((service, prompt.model), _Window())
-        window.work.append((now_s, work_s, prompt.adapter))
+        window.prefills.append((now_s, prefill_s, prompt.adapter))
 
     def wait(self, service: str, prompt: Prompt, *, step: int, now_s: float) -> None:
         """Count a request that starts (1) or stops (-1) waiting for a model.
@@ -89,27 +87,31 @@
         window = self._windows.setdefault((service, prompt.model), _Window())
         window.waiting += step
         if step > 0 and prompt.adapter:
-            window.work.append((now_s, 0.0, prompt.adapter))
+            window.prefills.append((now_s, 0.0, prompt.adapter))
 
     def now(self, service: str, *, now_s: float) -> dict[str, ModelDemand]:
         """Return the current demand for each model of a service."""
         demands = {}
         for (name, model), window in self._windows.items():
-            while window.work and window.work[0][0] < now_s - WINDOW_S:
-                window.work.popleft()
-            while window.asked_s and window.asked_s[0] < now_s - WINDOW_S:
-                window.asked_s.popleft()
-            if name == service and (window.work or window.waiting or window.asked_s):
+            while window.prefills and window.prefills[0][0] < now_s - WINDOW_S:
+                window.prefills.popleft()
+            while window.requested_s and window.requested_s[0] < now_s - WINDOW_S:
+                window.requested_s.popleft()
+            if name == service and (
+                window.prefills or window.waiting or window.requested_s
+            ):
                 recent_from_s = now_s - RECENT_WINDOW_S
                 recent = sum(
-                    work_s for at_s, work_s, _ in window.work if at_s > recent_from_s
+                    prefill_s
+                    for at_s, prefill_s, _ in window.prefills
+                    if at_s > recent_from_s
                 )
                 demands[model] = ModelDemand(
-                    sum(work_s for _, work_s, _ in window.work) / WINDOW_S,
+                    sum(prefill_s for _, prefill_s, _ in window.prefills) / WINDOW_S,
                     window.waiting,
-                    frozenset(adapter for _, _, adapter in window.work if adapter),
+                    frozenset(adapter for _, _, adapter in window.prefills if adapter),
                     recent / RECENT_WINDOW_S,
-                    len(window.asked_s) / WINDOW_S,
+                    len(window.requested_s) / WINDOW_S,
                 )
         return demands
 
--- a/src/rosepath/demand_history.py
+++ b/src/rosepath/demand_history.py
@@ -6,7 +6,7 @@
 from rosepath.demand import ModelDemand
 
 # After a longer gap between two plans the counts restart, as another VM held
-# the lease in the meantime.
+# the placement lease in the meantime.
 MAX_UPDATE_GAP_S = 2.0
 
 
--- a/src/rosepath/engine_books.py
+++ b/src/rosepath/engine_books.py
@@ -34,24 +34,22 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class EngineView:
-    """Describe an engine as input for the planner.
-
-    `age_s` maps the models it holds to the seconds since they were loaded,
-    `near` those that it can load without the weight store to the seconds that
-    this takes; `coming` is the model it is loading, `adapters` holds its
-    adapters as `model/adapter`; `settled` is False while an order is in
-    progress.
-    """
+    """Describe an engine as input for the planner."""
 
     name: str
     data_centre: str
     memory_mb: float
     used_mb: float
+    # Seconds since each held model was loaded.
     age_s: Mapping[str, float]
     in_use: Mapping[str, int]
+    # False while an order is in progress.
     settled: bool
+    # Load times of the models it can load without the weight store.
     near: Mapping[str, float]
+    # The model it is loading.
     coming: str = ""
+    # Its loaded adapters, as `model/adapter`.
     adapters: frozenset[str] = frozenset()
 
 
@@ -75,7 +73,9 @@
     demands: Mapping[str, ModelDemand]
     limits: EngineLimits
     owed: Mapping[str, float]
+    # Engines by model that they hold or load.
     replicas: dict[str, set[str]]
+    # Models by engine.
     held: dict[str, set[str]]
     workload_by_model: dict[str, Workload] = field(default_factory=dict)
     workload_by_engine: dict[str, Workload] = field(default_factory=dict)
@@ -121,14 +121,14 @@
 
     def apply(self, swap: Swap) -> None:
         """Update the state as if a swap were complete."""
-        touched = {swap.engine}
+        affected = {swap.engine}
         for model in swap.victims:
-            touched |= self.replicas[model]
+            affected |= self.replicas[model]
             self.replicas[model].discard(swap.engine)
             self.held[swap.engine].discard(model)
         self.replicas[swap.model].add(swap.engine)
         self.held[swap.engine].add(swap.model)
-        self._recompute_workloads(touched | self.replicas[swap.model])
+        self._recompute_workloads(affected | self.replicas[swap.model])
 
     def _recompute_workloads(self, engines: Iterable[str]) -> None:
         for name in engines:
@@ -160,15 +160,15 @@
 
     def missing_adapters(self, engine: EngineView) -> float:
         """Return the requested adapters that an engine lacks and has slots for."""
-        missing_adapters, there = 0.0, 0
+        missing, present = 0.0, 0
         for model in self.held[engine.name]:
             demand = self.demands.get(model)
             for adapter in demand.adapters if demand else ():
                 if f"{model}/{adapter}" in engine.adapters:
-                    there += 1
+                    present += 1
                 else:
-                    missing_adapters += 1 / len(self.replicas[model])
-        return min(missing_adapters, max(0, self.limits.adapter_slots - there))
+                    missing += 1 / len(self.replicas[model])
+        return min(missing, max(0, self.limits.adapter_slots - present))
 
     def loss_without_replica(self, model: str) -> float:
         """Return the requests lost per second while no engine holds a model."""
@@ -192,14 +192,14 @@
         )
 
     def _late_per_s_saved(
-        self, model: str, holders: Iterable[str], replicas: int, then: int
+        self, model: str, holders: Iterable[str], replicas: int, new_replicas: int
     ) -> float:
         """Return the late requests per second that a change in replicas saves."""
         if model not in self.workload_by_model:
             return 0.0
         now, later = (
             self.replica_workload(model, replicas),
-            self.replica_workload(model, then),
+            self.replica_workload(model, new_replicas),
         )
         return sum(
             self.late_per_s_on(name)
@@ -219,11 +219,11 @@
     def _unload_cost(self, view: EngineView, model: str) -> float:
         replicas = len(self.replicas[model])
         if replicas <= 1:
-            lost = self.loss_without_replica(model)
+            loss_per_s = self.loss_without_replica(model)
         else:
             others = self.replicas[model] - {view.name}
-            lost = -self._late_per_s_saved(model, others, replicas, replicas - 1)
-        once = IN_USE_UNLOAD_COST * view.in_use.get(model, 0)
+            loss_per_s = -self._late_per_s_saved(model, others, replicas, replicas - 1)
+        one_time_cost = IN_USE_UNLOAD_COST * view.in_use.get(model, 0)
         if view.age_s[model] < RECENT_LOAD_S and model in self.demands:
-            once += RECENT_LOAD_UNLOAD_COST
-        return HORIZON_S * lost + once
+            one_time_cost += RECENT_LOAD_UNLOAD_COST
+        return HORIZON_S * loss_per_s + one_time_cost
--- a/src/rosepath/engine_choice.py
+++ b/src/rosepath/engine_choice.py
@@ -9,7 +9,7 @@
 from rosepath.rendezvous import ranked
 from rosepath.server_choice import healthy_servers
 
-# Prompt tokens that an engine is assumed to prefill per second.
+# Assumed number of prompt tokens that an engine prefills per second.
 PREFILL_TOKENS_PER_S = 30_000.0
 REMOTE_PENALTY_S = 0.002
 # A failed request is prefilled again on another engine, on top of the time
@@ -28,7 +28,7 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class EngineChoice:
-    """Hold the chosen engine, the tokens it must prefill and its predicted delay."""
+    """Hold the chosen engine, the tokens to prefill and the predicted delay."""
 
     server: BackendServer
     unread_tokens: int
@@ -92,10 +92,10 @@
     pool = {engine.name: engine for engine in candidates}
     if not pool:
         return None
-    order = ranked(prefix_affinity_key(prompt), pool)
+    ranking = ranked(prefix_affinity_key(prompt), pool)
     best: EngineChoice | None = None
     best_key: tuple[float, float] | None = None
-    for place, name in enumerate(order):
+    for rank, name in enumerate(ranking):
         engine = pool[name]
         unread = max(0, prompt.input_tokens - cached_tokens(engine, prompt))
         first_token_s = (engine.unread_tokens + unread) / PREFILL_TOKENS_PER_S
@@ -110,7 +110,7 @@
         # While no engine has the prefix cached, all VMs should build the cache
         # on the same engine, so the first in the ranking wins unless it is
         # clearly busier.
-        cost_s = first_token_s + 0.01 * min(place, 3)
+        cost_s = first_token_s + 0.01 * min(rank, 3)
         key = (cost_s, rng.random())
         if best_key is None or key < best_key:
             best_key = key
--- a/src/rosepath/engine_plan.py
+++ b/src/rosepath/engine_plan.py
@@ -44,8 +44,8 @@
 LOADING_COST_PER_S = 1.5
 BLOCKED_ADAPTER_COST_PER_S = 0.4
 STORE_LOAD_COST = 1.1
-# The first replica of a busy model in a data centre keeps it available there
-# if the data centre is cut off from the others.
+# The first replica of a busy model in a data centre keeps the model available
+# if that data centre is cut off from the others.
 NEW_DATA_CENTRE_GAIN = 1.0
 # The gain of a swap must clearly exceed the cost of unloading its victims, or
 # noise in the demand would swap models back and forth.
@@ -61,8 +61,8 @@
 MAX_MODELS_WITH_SWAPS = 12
 MAX_MODELS_EXAMINED = 60
 # Finding one swap among 70 engines and 171 models takes 9 ms. More per plan
-# would block the event loop of the lease holder and delay its messages; the
-# remaining swaps are planned one tick later.
+# would block the event loop of the placement lease holder and delay its
+# messages; the remaining swaps are planned one tick later.
 MAX_SWAPS_PER_PLAN = 4
 
 
@@ -77,8 +77,8 @@
 ) -> list[Swap]:
     """Return the next swaps, the most useful first, at most one per engine.
 
-    `owed` maps each model without a replica to the number of its requests that
-    could not be served.
+    The last argument counts the unserved requests for each model without a
+    replica.
     """
     state = PlanState.from_views(engines, models, demands, limits=limits, owed=owed)
     free = {engine.name: engine for engine in engines if engine.settled}
@@ -119,12 +119,12 @@
     wanted: Iterable[str],
     store_room: bool,
 ) -> Swap | None:
-    values = sorted(
+    gains = sorted(
         ((state.replica_gain_per_s(model), model) for model in wanted), reverse=True
     )
     best: Swap | None = None
     models_with_swaps = 0
-    for replica_gain_per_s, model in values[:MAX_MODELS_EXAMINED]:
+    for replica_gain_per_s, model in gains[:MAX_MODELS_EXAMINED]:
         if replica_gain_per_s <= 0 or models_with_swaps == MAX_MODELS_WITH_SWAPS:
             break
         swaps = [
@@ -201,8 +201,10 @@
 def _new_data_centre_gain(engine: EngineView, model: str, state: PlanState) -> float:
     if model not in state.demands:
         return 0.0
-    there = {state.engines[name].data_centre for name in state.replicas[model]}
-    return 0.0 if engine.data_centre in there else NEW_DATA_CENTRE_GAIN
+    holding_data_centres = {
+        state.engines[name].data_centre for name in state.replicas[model]
+    }
+    return 0.0 if engine.data_centre in holding_data_centres else NEW_DATA_CENTRE_GAIN
 
 
 def _victims(
@@ -218,15 +220,15 @@
         ),
         None,
     )
-    gone_mb, total = 0.0, 0.0
+    freed_mb, total = 0.0, 0.0
     several: list[str] = []
     for loss, model in unload_costs:
         several.append(model)
-        gone_mb += _size_mb(state, model)
+        freed_mb += _size_mb(state, model)
         total += loss
-        if gone_mb >= needed_mb:
+        if freed_mb >= needed_mb:
             break
-    if gone_mb < needed_mb or (single is not None and single[1] <= total):
+    if freed_mb < needed_mb or (single is not None and single[1] <= total):
         return single
     return tuple(several), total
 
--- a/src/rosepath/fleet.py
+++ b/src/rosepath/fleet.py
@@ -9,7 +9,6 @@
 # minutes in which an outdated entry may still arrive.
 MAX_REMEMBERED_SERVERS = 5_000
 
-
 # How long other requests wait after a probe of a half-open server; a server
 # that sheds load refuses the probe at once.
 HALF_OPEN_PROBE_S = 0.25
@@ -64,7 +63,8 @@
 class PeerLoad:
     """Hold the load of another entry VM at a backend server.
 
-    `targets` counts the requests by target, as in `Flight`.
+    `targets` counts the requests by model, followed by a slash and the adapter
+    if there is one.
     """
 
     requests: int = 0
@@ -102,9 +102,9 @@
     ordering_until_s: float = -1e9
     # Until when it sheds requests of this VM, as given in its refusal.
     backoff_until_s: float = -1e9
-    # Set from a backoff until an answer without load shedding, and when the
-    # last probe request was sent.
+    # Set by a backoff until the server answers without load shedding.
     half_open: bool = False
+    # When the last probe request was sent to the half-open server.
     probed_s: float = -1e9
 
     @property
@@ -197,10 +197,10 @@
         """
         server = self.servers.get(leaving.name)
         if leaving.gone_at:
-            news = server is not None and server.entry.version <= leaving.gone_at
-            if news or server is None:
+            is_new = server is not None and server.entry.version <= leaving.gone_at
+            if is_new or server is None:
                 self.remove(leaving.name, gone_at=leaving.gone_at)
-            return news
+            return is_new
         self._note_leaving(leaving.name, leaving.born_ms)
         if server is None or server.entry.draining:
             return False
--- a/src/rosepath/server_picker.py
+++ b/src/rosepath/server_picker.py
@@ -31,8 +31,8 @@
 # An earlier retry would be refused again.
 QUARANTINED_RETRY_AFTER_S = 60.0
 QUARANTINED_CODE = "crashes_servers"
-# An adapter loads in about 20 ms. A lease holder that does not answer within
-# this time may have failed, and its successor is asked.
+# An adapter loads in about 20 ms. A placement lease holder that does not
+# answer within this time may have failed, and its successor is asked.
 ADAPTER_WAIT_S = 0.4
 
 _log = get_logger()
@@ -113,7 +113,7 @@
                     context,
                     "no_server",
                     "no server can accept the request now",
-                    back_s=RETRY_AFTER_S,
+                    retry_after_s=RETRY_AFTER_S,
                 )
             self._refuse_if_late(context, started_s, wait_until_s)
             count_waiting()
@@ -141,7 +141,7 @@
             context,
             QUARANTINED_CODE,
             "servers crashed each time this request ran",
-            back_s=QUARANTINED_RETRY_AFTER_S,
+            retry_after_s=QUARANTINED_RETRY_AFTER_S,
         )
 
     def _refuse_if_late(
@@ -167,7 +167,7 @@
         )
         if choice.decision is WaitDecision.REFUSE:
             context.waited_s += now_s - started_s
-            raise _refused(context, code, why, back_s=choice.retry_after_s)
+            raise _refused(context, code, why, retry_after_s=choice.retry_after_s)
 
     def _eligible_servers(self, context: RequestContext) -> list[BackendServer]:
         """Return the servers that could serve a request, now or soon."""
@@ -306,9 +306,9 @@
 
 
 def _refused(
-    context: RequestContext, code: str, message: str, *, back_s: float | None
+    context: RequestContext, code: str, message: str, *, retry_after_s: float | None
 ) -> RefusalError:
     """Build a refusal that reports "not run" only if the request certainly was not."""
     if context.not_run:
-        return refuse(503, code, message, step=Step.ROUTE, retry_after_s=back_s)
+        return refuse(503, code, message, step=Step.ROUTE, retry_after_s=retry_after_s)
     return refuse(502, code, message, step=Step.ROUTE, run=Run.UNKNOWN)
--- a/tests/test_engine_choice.py
+++ b/tests/test_engine_choice.py
@@ -74,9 +74,9 @@
 
 
 def test_request_moves_on_from_engine_that_rejects_the_adapter() -> None:
-    # The lease holder reports that an engine can't load the adapter now.
-    # Retrying the same engine every 0.1 s kept requests waiting until they
-    # were refused, although another engine had capacity.
+    # The placement lease holder reports that an engine can't load the adapter
+    # now. Retrying the same engine every 0.1 s kept requests waiting until
+    # they were refused, although another engine had capacity.
     async def run() -> None:
         fleet = a_fleet("e1", "e2", "e3")
         prompt = a_prompt(adapter="a7")
--- a/tests/test_engine_strain.py
+++ b/tests/test_engine_strain.py
@@ -48,23 +48,24 @@
     assert late_per_s(prefill_heavy(1.0), PREFILL_HEAVY) < 0.1
 
 
-@pytest.mark.parametrize("work", [decode_heavy, prefill_heavy])
-def test_late_requests_grow_with_the_workload(work: object) -> None:
-    assert callable(work)
+@pytest.mark.parametrize("workload", [decode_heavy, prefill_heavy])
+def test_late_requests_grow_with_the_workload(workload: object) -> None:
+    assert callable(workload)
     late = [
-        late_per_s(work(per_s), DECODE_HEAVY) for per_s in (0.0, 2.0, 8.0, 20.0, 60.0)
+        late_per_s(workload(per_s), DECODE_HEAVY)
+        for per_s in (0.0, 2.0, 8.0, 20.0, 60.0)
     ]
     assert late[0] == 0.0
     assert late == sorted(late)
 
 
 def test_two_half_workloads_are_less_late_than_one_whole() -> None:
-    for limits, work in (
+    for limits, workload in (
         (DECODE_HEAVY, decode_heavy(24.0)),
         (PREFILL_HEAVY, prefill_heavy(6.0)),
     ):
-        half = Workload().plus(work, times=0.5)
-        assert 2 * late_per_s(half, limits) < late_per_s(work, limits)
+        half = Workload().plus(workload, times=0.5)
+        assert 2 * late_per_s(half, limits) < late_per_s(workload, limits)
 
 
 def test_no_requests_are_late_without_workload() -> None:
@@ -85,11 +86,11 @@
     # For a model with very rare requests, the prefill load or the request rate
     # rounds to zero. Each plan of the lease holder then failed with a division
     # by zero, and no model was loaded any more.
-    for work in (
+    for workload in (
         Workload(prefill_share=tiny, asked_per_s=1.0, running=1.0),
         Workload(prefill_share=0.1, asked_per_s=tiny, running=1.0),
         Workload(prefill_share=tiny, asked_per_s=10 * tiny, running=0.0),
     ):
-        assert stalled_stream_share(work, PREFILL_HEAVY) == 0.0
-        late = late_per_s(work, PREFILL_HEAVY)
+        assert stalled_stream_share(workload, PREFILL_HEAVY) == 0.0
+        late = late_per_s(workload, PREFILL_HEAVY)
         assert 0.0 <= late < 1e-3
