--- a/src/rosepath/demand.py
+++ b/src/rosepath/demand.py
@@ -73,7 +73,7 @@
     def note(
         self, service: str, prompt: Prompt, *, unread_tokens: int, now_s: float
     ) -> None:
-        """Record the prompt tokens of a request that an engine has to prefill."""
+        """Record the prompt tokens that an engine prefills for a request."""
         prefill_s = unread_tokens * PREFILL_S_PER_TOKEN
         window = self._windows.setdefault((service, prompt.model), _Window())
         window.prefills.append((now_s, prefill_s, prompt.adapter))
--- a/src/rosepath/demand_history.py
+++ b/src/rosepath/demand_history.py
@@ -1,4 +1,4 @@
-"""Demand that the lease holder accumulates from one plan to the next."""
+"""Demand that the placement lease holder accumulates from one plan to the next."""
 
 from collections.abc import Collection, Mapping
 from dataclasses import dataclass, field
@@ -29,7 +29,7 @@
         held: Collection[str],
         now_s: float,
     ) -> None:
-        """Update the counts from the current demand and the models with a replica."""
+        """Update the counts from the demand and the models with a replica."""
         elapsed_s = 0.0 if self._updated_s is None else now_s - self._updated_s
         self._updated_s = now_s
         if elapsed_s > MAX_UPDATE_GAP_S:
--- a/src/rosepath/engine_books.py
+++ b/src/rosepath/engine_books.py
@@ -66,7 +66,7 @@
 
 @dataclass(slots=True, kw_only=True)
 class PlanState:
-    """Own the model replicas and the workload of each engine during one plan."""
+    """Own the replicas and engine workloads while one plan is made."""
 
     engines: Mapping[str, EngineView]
     models: Mapping[str, ModelSpec]
@@ -154,12 +154,12 @@
         removed: Workload = NO_WORKLOAD,
         added: Workload = NO_WORKLOAD,
     ) -> float:
-        """Return an engine's late requests per second after a change of workload."""
+        """Return an engine's late requests per second with a changed load."""
         workload = self.workload_by_engine[engine].plus(removed, times=-1.0).plus(added)
         return late_per_s(workload, self.limits)
 
     def missing_adapters(self, engine: EngineView) -> float:
-        """Return the requested adapters that an engine lacks and has slots for."""
+        """Return the requested adapters an engine lacks and has slots for."""
         missing, present = 0.0, 0
         for model in self.held[engine.name]:
             demand = self.demands.get(model)
@@ -171,7 +171,7 @@
         return min(missing, max(0, self.limits.adapter_slots - present))
 
     def loss_without_replica(self, model: str) -> float:
-        """Return the requests lost per second while no engine holds a model."""
+        """Return the requests lost per second if no engine holds a model."""
         demand = self.demands.get(model)
         if demand is None:
             return ABSENT_IDLE_LOSS_PER_S
@@ -183,7 +183,7 @@
         )
 
     def replica_gain_per_s(self, model: str) -> float:
-        """Return the late or lost requests per second that one more replica saves."""
+        """Return the late or lost requests per second a new replica saves."""
         replicas = len(self.replicas[model])
         if not replicas:
             return self.loss_without_replica(model)
@@ -194,7 +194,7 @@
     def _late_per_s_saved(
         self, model: str, holders: Iterable[str], replicas: int, new_replicas: int
     ) -> float:
-        """Return the late requests per second that a change in replicas saves."""
+        """Return the late requests per second a change in replicas saves."""
         if model not in self.workload_by_model:
             return 0.0
         now, later = (
@@ -208,7 +208,7 @@
         )
 
     def unload_costs(self, engine: str) -> list[tuple[float, str]]:
-        """Return an engine's models with the cost of unloading each, cheapest first."""
+        """Return the unload cost of each model of an engine, lowest first."""
         if engine not in self._unload_costs:
             view = self.engines[engine]
             self._unload_costs[engine] = sorted(
--- a/src/rosepath/engine_choice.py
+++ b/src/rosepath/engine_choice.py
@@ -28,7 +28,7 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class EngineChoice:
-    """Hold the chosen engine, the tokens to prefill and the predicted delay."""
+    """Hold the chosen engine, tokens to prefill and predicted delay."""
 
     server: BackendServer
     unread_tokens: int
@@ -42,7 +42,7 @@
 
 
 def holds_adapter(server: BackendServer, prompt: Prompt) -> bool:
-    """Return whether an engine that holds the prompt's model has its adapter."""
+    """Return whether an engine with the model has the prompt's adapter."""
     return not prompt.adapter or prompt.adapter in server.held[prompt.model]
 
 
@@ -64,8 +64,8 @@
         return False
     if holds_adapter(engine, prompt):
         return True
-    wait_s = adapter_delay_s(engine, adapter_slots=adapter_slots, now_s=now_s)
-    return wait_s < OCCUPIED_PENALTY_S
+    delay_s = adapter_delay_s(engine, adapter_slots=adapter_slots, now_s=now_s)
+    return delay_s < OCCUPIED_PENALTY_S
 
 
 def choose_engine(
--- a/src/rosepath/engine_plan.py
+++ b/src/rosepath/engine_plan.py
@@ -210,7 +210,7 @@
 def _victims(
     engine: EngineView, needed_mb: float, state: PlanState
 ) -> tuple[tuple[str, ...], float] | None:
-    """Return the models that free enough memory at the lowest cost, with the cost."""
+    """Return the cheapest models that free enough memory, and their cost."""
     unload_costs = state.unload_costs(engine.name)
     single = next(
         (
--- a/src/rosepath/engine_strain.py
+++ b/src/rosepath/engine_strain.py
@@ -124,7 +124,7 @@
 
 
 def _gamma_tail(times_mean: float, shape: float) -> float:
-    """Return the probability that a gamma variable exceeds a multiple of its mean.
+    """Return the probability of a gamma variable above a multiple of its mean.
 
     The Wilson-Hilferty approximation treats its cube root as normal.
     """
--- a/src/rosepath/engine_views.py
+++ b/src/rosepath/engine_views.py
@@ -1,4 +1,4 @@
-"""Build the planner's view of an engine from the lease holder's records."""
+"""Build the planner's view of an engine from the records of orders."""
 
 from collections.abc import Collection
 
@@ -40,7 +40,7 @@
 def used_mb(
     record: EngineRecord, spec: EngineSpec, *, without: Collection[str] = ()
 ) -> float:
-    """Return an engine's memory in use or reserved, leaving out some models."""
+    """Return an engine's memory in use or reserved, without some models."""
     return record.used_mb(
         {name: model.size_mb for name, model in spec.models.items()},
         {name: model.adapter_mb for name, model in spec.models.items()},
@@ -49,7 +49,7 @@
 
 
 def load_s_of(server: BackendServer, model: ModelSpec) -> float:
-    """Return how long an engine takes to load a model, given where it is stored."""
+    """Return how long a load takes from the fastest storage that has it."""
     if model.name in server.entry.in_memory:
         return model.warm_load_s
     if model.name in server.entry.on_disk:
--- a/src/rosepath/fleet.py
+++ b/src/rosepath/fleet.py
@@ -81,7 +81,7 @@
 
 @dataclass(slots=True, kw_only=True)
 class BackendServer:
-    """Hold a backend server's entry and its state as observed by this entry VM."""
+    """Hold a server's entry and its state as observed by this entry VM."""
 
     entry: ServerEntry
     left: bool = False
@@ -135,7 +135,7 @@
         return self.usable and not self.in_backoff(now_s) and not probing
 
     def moved_ago_s(self, now_s: float) -> float | None:
-        """Return the time since its last progress for this VM, if there was any."""
+        """Return the time since its last progress for this VM, if any."""
         return None if self.moved_s is None else round(now_s - self.moved_s, 3)
 
     @property
@@ -190,7 +190,7 @@
         self._leaving: OrderedDict[str, int] = OrderedDict()
 
     def note_leaving(self, leaving: LeavingServer) -> bool:
-        """Stop sending new requests to a server that another VM reports as leaving.
+        """Stop new requests to a server that another VM reports as leaving.
 
         Return whether that is new. A server that has restarted since is kept,
         as the reporting VM has not yet received its new entry.
@@ -249,7 +249,7 @@
             _remember_latest(self._leaving, name, born_ms)
 
     def _note_started(self, entry: ServerEntry) -> None:
-        """Remember a start for longer than earlier entries may still arrive."""
+        """Remember a start while entries of earlier ones may still arrive."""
         if entry.born_ms:
             _remember_latest(self._born_ms, entry.name, entry.born_ms)
 
--- a/src/rosepath/model_arrivals.py
+++ b/src/rosepath/model_arrivals.py
@@ -40,13 +40,13 @@
 
 @dataclass(slots=True)
 class ModelArrivals:
-    """Own the expected load times of models, as the lease holder last sent them."""
+    """Own the loads announced by the holder of the placement lease."""
 
     _due_s: dict[str, float] = field(default_factory=dict)
     _updated_s: float = -1e9
 
     def hear(self, arrivals: Iterable[ModelArrival], *, now_s: float) -> None:
-        """Replace all expected loads by those of the lease holder's latest message."""
+        """Replace the announced loads with those of a new message."""
         self._updated_s = now_s
         self._due_s.clear()
         for arrival in arrivals:
@@ -55,7 +55,7 @@
             self._due_s[arrival.model] = min(due_s, known_s)
 
     def due_s(self, model: str, *, now_s: float) -> float | None:
-        """Return when a model will be on some engine, None if that is unknown."""
+        """Return when a model will be on some engine, None if unknown."""
         if now_s - self._updated_s > ARRIVALS_TTL_S:
             return None
         return self._due_s.get(model)
--- a/src/rosepath/prefixes.py
+++ b/src/rosepath/prefixes.py
@@ -22,7 +22,7 @@
 
 
 class PrefixIndex:
-    """Own a bounded LRU map from prompt prefixes to the replicas that served them."""
+    """Own a bounded LRU map from prompt prefixes to replicas."""
 
     def __init__(self, *, max_entries: int = MAX_ENTRIES) -> None:
         self._holders: OrderedDict[int, str] = OrderedDict()
--- a/src/rosepath/rendezvous.py
+++ b/src/rosepath/rendezvous.py
@@ -1,4 +1,4 @@
-"""Rendezvous hashing: all nodes choose the same members without coordination."""
+"""Rendezvous hashing: all nodes choose alike without coordination."""
 
 from collections.abc import Iterable
 
--- a/src/rosepath/server_choice.py
+++ b/src/rosepath/server_choice.py
@@ -43,7 +43,7 @@
     now_s: float,
     rng: random.Random,
 ) -> BackendServer | None:
-    """Choose the least busy server, preferring those without a recent failure."""
+    """Choose the least busy server, preferring healthy ones."""
     eligible = [
         server
         for server in servers
@@ -62,7 +62,7 @@
 
 
 def note_success(server: BackendServer, *, took_s: float) -> None:
-    """Clear the failure state and update the error rate and the latency average."""
+    """Clear the failure state and update error rate and mean latency."""
     server.failures = 0
     server.suspect_until_s = 0.0
     server.error_rate -= ERROR_RATE_SMOOTHING * server.error_rate
@@ -77,7 +77,7 @@
 
 
 def note_answer(server: BackendServer, *, now_s: float) -> None:
-    """Record an answer without load shedding, which ends the half-open state."""
+    """Record an answer without load shedding; it ends the half-open state."""
     if not server.in_backoff(now_s):
         server.half_open = False
 
@@ -94,7 +94,7 @@
 
 
 def note_failure(server: BackendServer, *, now_s: float, silent: bool) -> None:
-    """Record a failure and suspect the server, longer after each failure in a row."""
+    """Record a failure and suspect the server, longer after each in a row."""
     server.failures += 1
     note_error(server)
     if not silent and server.failures < TOLERATED_FAILURES:
--- a/src/rosepath/server_picker.py
+++ b/src/rosepath/server_picker.py
@@ -25,8 +25,8 @@
 # How long a request to a service without engines waits for a server before it
 # is refused.
 NO_SERVER_WAIT_S = 0.5
-# Share of the caller's patience that a generation may spend waiting for an
-# engine with its model; the rest is for the engine to start.
+# Share of the time until the caller disconnects that a generation may spend
+# waiting for an engine with its model; the rest is for the engine to start.
 MAX_WAIT_SHARE = 0.85
 # An earlier retry would be refused again.
 QUARANTINED_RETRY_AFTER_S = 60.0
@@ -39,14 +39,14 @@
 
 
 class ServerPicker:
-    """Choose servers, load adapters onto them and count waiting requests as demand."""
+    """Choose servers, load adapters and count waiting requests as demand."""
 
     def __init__(self, ports: RelayPorts, suspects: Suspects) -> None:
         self._ports = ports
         self._suspects = suspects
 
     async def choose(self, context: RequestContext) -> tuple[BackendServer, Flight]:
-        """Choose a server, waiting up to the request's limit if there is none."""
+        """Choose a server, waiting up to a limit if there is none."""
         started_s = self._now_s()
         wait_until_s = self._wait_limit_s(context, started_s)
         if context.service.engine is not None:
@@ -265,7 +265,7 @@
         return None
 
     def has_room_besides(self, context: RequestContext, server: BackendServer) -> bool:
-        """Return whether another server is known to have capacity for a request."""
+        """Return whether another server has capacity for a request."""
         ports, now_s = self._ports, self._now_s()
         prompt, spec = context.call.prompt, context.service.engine
 
@@ -286,7 +286,7 @@
         return bool(healthy_servers(others, cut_off=ports.cut_off(), now_s=now_s))
 
     def has_untried(self, context: RequestContext) -> bool:
-        """Return whether there is a server that a request has not been sent to."""
+        """Return whether a request has not been sent to some server yet."""
         now_s = self._now_s()
         return any(
             server.name not in context.tried and not server.in_backoff(now_s)
@@ -308,7 +308,7 @@
 def _refused(
     context: RequestContext, code: str, message: str, *, retry_after_s: float | None
 ) -> RefusalError:
-    """Build a refusal that reports "not run" only if the request certainly was not."""
+    """Build a refusal; it reports "not run" only if that is certain."""
     if context.not_run:
         return refuse(503, code, message, step=Step.ROUTE, retry_after_s=retry_after_s)
     return refuse(502, code, message, step=Step.ROUTE, run=Run.UNKNOWN)
--- a/tests/test_engine_plan.py
+++ b/tests/test_engine_plan.py
@@ -134,9 +134,9 @@
 
 
 def test_models_that_fit_nowhere_do_not_block_other_replicas() -> None:
-    # More models with waiting requests than are considered for one swap fit on
-    # no engine. When only those were examined, each busy model kept a single
-    # replica while most engines were idle.
+    # Of 171 models, more have waiting requests than are considered for one
+    # swap, and those fit on no engine. When only those were examined, each
+    # busy model kept a single replica while most engines were idle.
     hopeless = {
         f"x{number}": a_model(f"x{number}", size_mb=3e5) for number in range(20)
     }
@@ -185,9 +185,9 @@
     load_s: float,
 ) -> None:
     # A spot engine leaves with the only replica of a busy model. Loading it
-    # from the weight store takes as long as the planning horizon, so the load
-    # had no gain, and hundreds of requests were refused although other engines
-    # had room.
+    # from the weight store takes as long as the demand was assumed to last, so
+    # the load had no gain, and hundreds of requests were refused for the rest
+    # of the day although other engines had room.
     models = MODELS | {"m0": slow_loading("m0", load_s=load_s)}
     engines = [
         an_engine_view("e1", "m1", "m2", near={}, in_use={"m1": 2, "m2": 1}),
--- a/tests/test_engine_strain.py
+++ b/tests/test_engine_strain.py
@@ -1,4 +1,4 @@
-"""Tests of estimated late requests for prefill-heavy and decode-heavy services."""
+"""Tests of estimated late requests, heavy on prefill or on decoding."""
 
 import pytest
 
@@ -84,8 +84,8 @@
 @pytest.mark.parametrize("tiny", [5e-324, 1e-320, 1e-300, 1e-12])
 def test_workload_that_rounds_to_zero_makes_no_request_late(tiny: float) -> None:
     # For a model with very rare requests, the prefill load or the request rate
-    # rounds to zero. Each plan of the lease holder then failed with a division
-    # by zero, and no model was loaded any more.
+    # rounds to zero. Each plan of the placement lease holder then failed with
+    # a division by zero, and no model was loaded any more.
     for workload in (
         Workload(prefill_share=tiny, asked_per_s=1.0, running=1.0),
         Workload(prefill_share=0.1, asked_per_s=tiny, running=1.0),
--- a/tests/test_model_arrivals.py
+++ b/tests/test_model_arrivals.py
@@ -1,4 +1,4 @@
-"""Tests of which requests wait for a model load and which are told to retry."""
+"""Tests of whether requests wait for a model load or are refused."""
 
 import random
 
