--- a/src/rosepath/demand_history.py
+++ b/src/rosepath/demand_history.py
@@ -1,4 +1,4 @@
-"""Demand that the placement lease holder accumulates from one plan to the next."""
+"""Demand that accumulates from one plan to the next."""
 
 from collections.abc import Collection, Mapping
 from dataclasses import dataclass, field
--- a/src/rosepath/server_choice.py
+++ b/src/rosepath/server_choice.py
@@ -16,8 +16,8 @@
 
 # A server that refuses connections is tried again after this time; its entry
 # stays in the store for three heartbeats after the server ends.
-DOWN_S = 0.7
-SUSPECT_FIRST_S = 0.5
+CONNECT_RETRY_DELAY_S = 0.7
+SUSPECT_INITIAL_S = 0.5
 SUSPECT_MAX_S = 4.0
 # Healthy servers fail occasionally, but not this many times in a row.
 TOLERATED_FAILURES = 3
@@ -85,7 +85,7 @@
 def note_unreached(server: BackendServer, *, now_s: float) -> None:
     """Record a failed connection attempt."""
     server.unreached_s = now_s
-    server.down_until_s = now_s + DOWN_S
+    server.down_until_s = now_s + CONNECT_RETRY_DELAY_S
 
 
 def note_error(server: BackendServer) -> None:
@@ -99,5 +99,5 @@
     note_error(server)
     if not silent and server.failures < TOLERATED_FAILURES:
         return
-    pause_s = SUSPECT_FIRST_S * 2 ** min(server.failures, 4)
+    pause_s = SUSPECT_INITIAL_S * 2 ** min(server.failures, 4)
     server.suspect_until_s = now_s + min(pause_s, SUSPECT_MAX_S)
