--- a/src/rosepath/demand.py
+++ b/src/rosepath/demand.py
@@ -1,4 +1,4 @@
-"""How much each model is asked for, here and at other entry VMs."""
+"""Measure the demand for each model at this and other entry VMs."""
 
 from collections import deque
 from collections.abc import Iterable, Mapping
@@ -6,47 +6,47 @@
 
 from rosepath.caller_call import Prompt
 
-# Demand moves within seconds; a window much shorter than this sees no rare
-# model, a longer one lags.
+# Demand shifts within seconds: a much shorter window misses rarely used
+# models, a longer one lags behind.
 WINDOW_S = 5.0
-# Where demand moves to, a shorter window shows it sooner; it is discounted, as
-# a few requests more in it may be chance.
-FRESH_WINDOW_S = 2.0
-FRESH_DISCOUNT = 0.8
-# Of those who wait, nobody knows yet what an engine will have to read.
-WAITING_WORK_S = 0.12
-# Requests a second behind each engine-second of reading a second, where a VM
-# tells of no requests.
+# A shorter window shows rising demand sooner. It is discounted, as a few more
+# requests in it may be random.
+RECENT_WINDOW_S = 2.0
+RECENT_LOAD_DISCOUNT = 0.8
+# Assumed prefill time of a waiting request, which is not known until an engine
+# is chosen.
+WAITING_REQUEST_PREFILL_S = 0.12
+# Assumed requests per second for each engine-second of prefill per second, for
+# VMs that report no request rate.
 REQUESTS_PER_LOAD = 8.0
-# Tokens are written for all running requests at once; prompts are read one
-# after the other.
-READ_S_PER_TOKEN = 1 / 38_000
+# Decoding runs for all requests at once, prefill for one prompt after the
+# other, so only prefill counts as load.
+PREFILL_S_PER_TOKEN = 1 / 38_000
 
 
 @dataclass(frozen=True, slots=True)
 class ModelDemand:
-    """Hold a model's load in engine-seconds a second, and who waits for it.
-
-    `adapters` names the adapters of it that were asked for lately, and
-    `fresh_load` is the load by a shorter window. `asked_per_s` counts every
-    request for it, whether an engine could take it or not.
-    """
+    """Hold a model's prefill load and the requests that wait for it."""
 
+    # Prefill load, in engine-seconds per second.
     load: float
     waiting: int
+    # The model's adapters that were requested lately.
     adapters: frozenset[str] = frozenset()
+    # The load over a shorter window.
     fresh_load: float = 0.0
+    # All requests for the model, whether or not an engine could accept them.
     asked_per_s: float = 0.0
 
     @property
     def expected_load(self) -> float:
-        """Return the load to plan for, of those who wait too."""
-        waiting = self.waiting * WAITING_WORK_S / FRESH_WINDOW_S
-        return max(self.load, FRESH_DISCOUNT * (self.fresh_load + waiting))
+        """Return the load to plan for, including waiting requests."""
+        waiting = self.waiting * WAITING_REQUEST_PREFILL_S / RECENT_WINDOW_S
+        return max(self.load, RECENT_LOAD_DISCOUNT * (self.fresh_load + waiting))
 
     @property
-    def expected_per_s(self) -> float:
-        """Return the requests a second to plan for."""
+    def expected_requests_per_s(self) -> float:
+        """Return the requests per second to plan for."""
         if self.asked_per_s <= 0 or self.load <= 0:
             return max(self.asked_per_s, REQUESTS_PER_LOAD * self.expected_load)
         return self.asked_per_s * self.expected_load / self.load
@@ -54,57 +54,64 @@
 
 @dataclass(slots=True, kw_only=True)
 class _Window:
-    work: deque[tuple[float, float, str]] = field(default_factory=deque)
-    asked_s: deque[float] = field(default_factory=deque)
+    prefills: deque[tuple[float, float, str]] = field(default_factory=deque)
+    requested_s: deque[float] = field(default_factory=deque)
     waiting: int = 0
 
 
 class Demand:
-    """Count the requests of this entry VM, model by model."""
+    """Count the requests that this entry VM receives, by service and model."""
 
     def __init__(self) -> None:
         self._windows: dict[tuple[str, str], _Window] = {}
 
     def ask(self, service: str, prompt: Prompt, *, now_s: float) -> None:
-        """Count a request that came, whatever becomes of it."""
+        """Count an incoming request, whatever its outcome."""
         window = self._windows.setdefault((service, prompt.model), _Window())
-        window.asked_s.append(now_s)
+        window.requested_s.append(now_s)
 
     def note(
         self, service: str, prompt: Prompt, *, unread_tokens: int, now_s: float
     ) -> None:
-        """Note a request and what of its prompt an engine has to read."""
-        work_s = unread_tokens * READ_S_PER_TOKEN
+        """Record the prompt tokens that an engine prefills for a request."""
+        prefill_s = unread_tokens * PREFILL_S_PER_TOKEN
         window = self._windows.setdefault((service, prompt.model), _Window())
-        window.work.append((now_s, work_s, prompt.adapter))
+        window.prefills.append((now_s, prefill_s, prompt.adapter))
 
     def wait(self, service: str, prompt: Prompt, *, step: int, now_s: float) -> None:
-        """Count a request that begins (1) or ends (-1) waiting for a model.
+        """Count a request that starts (1) or stops (-1) waiting for a model.
 
-        It shows at once which adapter it needs; what it reads is noted later.
+        The adapter counts as requested at once; the prefill load is recorded
+        when an engine is chosen.
         """
         window = self._windows.setdefault((service, prompt.model), _Window())
         window.waiting += step
         if step > 0 and prompt.adapter:
-            window.work.append((now_s, 0.0, prompt.adapter))
+            window.prefills.append((now_s, 0.0, prompt.adapter))
 
     def now(self, service: str, *, now_s: float) -> dict[str, ModelDemand]:
-        """Return the demand for each model of a service."""
+        """Return the current demand for each model of a service."""
         demands = {}
         for (name, model), window in self._windows.items():
-            while window.work and window.work[0][0] < now_s - WINDOW_S:
-                window.work.popleft()
-            while window.asked_s and window.asked_s[0] < now_s - WINDOW_S:
-                window.asked_s.popleft()
-            if name == service and (window.work or window.waiting or window.asked_s):
-                fresh_s = now_s - FRESH_WINDOW_S
-                fresh = sum(work_s for at_s, work_s, _ in window.work if at_s > fresh_s)
+            while window.prefills and window.prefills[0][0] < now_s - WINDOW_S:
+                window.prefills.popleft()
+            while window.requested_s and window.requested_s[0] < now_s - WINDOW_S:
+                window.requested_s.popleft()
+            if name == service and (
+                window.prefills or window.waiting or window.requested_s
+            ):
+                recent_from_s = now_s - RECENT_WINDOW_S
+                recent = sum(
+                    prefill_s
+                    for at_s, prefill_s, _ in window.prefills
+                    if at_s > recent_from_s
+                )
                 demands[model] = ModelDemand(
-                    sum(work_s for _, work_s, _ in window.work) / WINDOW_S,
+                    sum(prefill_s for _, prefill_s, _ in window.prefills) / WINDOW_S,
                     window.waiting,
-                    frozenset(adapter for _, _, adapter in window.work if adapter),
-                    fresh / FRESH_WINDOW_S,
-                    len(window.asked_s) / WINDOW_S,
+                    frozenset(adapter for _, _, adapter in window.prefills if adapter),
+                    recent / RECENT_WINDOW_S,
+                    len(window.requested_s) / WINDOW_S,
                 )
         return demands
 
@@ -114,7 +121,7 @@
 
 
 def total_demand(parts: Iterable[Mapping[str, ModelDemand]]) -> dict[str, ModelDemand]:
-    """Add up the demand that several entry VMs see."""
+    """Return the sum of the demand at several entry VMs."""
     total: dict[str, ModelDemand] = {}
     for part in parts:
         for model, demand in part.items():
--- a/src/rosepath/demand_history.py
+++ b/src/rosepath/demand_history.py
@@ -1,25 +1,26 @@
-"""What the lease's holder remembers of demand from one plan to the next."""
+"""Demand that accumulates from one plan to the next."""
 
 from collections.abc import Collection, Mapping
 from dataclasses import dataclass, field
 
 from rosepath.demand import ModelDemand
 
-# A plan that comes later than this after the one before begins anew: the
-# lease was elsewhere meanwhile.
-GAP_MAX_S = 2.0
+# After a longer gap between two plans the counts restart, as another VM held
+# the placement lease in the meantime.
+MAX_UPDATE_GAP_S = 2.0
 
 
 @dataclass(slots=True, kw_only=True)
 class DemandHistory:
-    """Count what is owed to models that are asked for while nobody holds them.
+    """Count the unserved requests for models that no engine holds.
 
-    What a model is owed grows with each request that comes in vain, so that its
-    load comes to outweigh any other use of the room, however long it takes.
+    The count of a model grows with each request that can't be served, so that
+    loading it eventually outweighs any other use of the memory, however long
+    the load takes.
     """
 
     owed: dict[str, float] = field(default_factory=dict)
-    _noted_s: float | None = None
+    _updated_s: float | None = None
 
     def note(
         self,
@@ -28,10 +29,10 @@
         held: Collection[str],
         now_s: float,
     ) -> None:
-        """Take in the demand of this moment, and which models have a copy."""
-        since_s = 0.0 if self._noted_s is None else now_s - self._noted_s
-        self._noted_s = now_s
-        if since_s > GAP_MAX_S:
+        """Update the counts from the demand and the models with a replica."""
+        elapsed_s = 0.0 if self._updated_s is None else now_s - self._updated_s
+        self._updated_s = now_s
+        if elapsed_s > MAX_UPDATE_GAP_S:
             self.owed.clear()
             return
         for model in list(self.owed):
@@ -39,5 +40,5 @@
                 del self.owed[model]
         for model, demand in demands.items():
             if model not in held:
-                more = demand.asked_per_s * since_s
+                more = demand.asked_per_s * elapsed_s
                 self.owed[model] = self.owed.get(model, 0.0) + more
