--- a/src/rosepath/server_picker.py
+++ b/src/rosepath/server_picker.py
@@ -112,7 +112,7 @@
                 raise _refused(
                     context,
                     "no_server",
-                    "no server can accept the request now",
+                    "no server can take the request now",
                     retry_after_s=RETRY_AFTER_S,
                 )
             self._refuse_if_late(context, started_s, wait_until_s)
@@ -140,7 +140,7 @@
         raise _refused(
             context,
             QUARANTINED_CODE,
-            "servers crashed each time this request ran",
+            "servers crashed each time that this request was run",
             retry_after_s=QUARANTINED_RETRY_AFTER_S,
         )
 
@@ -159,7 +159,7 @@
         elif eligible and all(server.in_backoff(now_s) for server in eligible):
             due_s = min(server.backoff_until_s for server in eligible)
             code = "servers_back_off"
-            why = "all servers that could serve the request are shedding load"
+            why = "all servers that could take the request shed load"
         else:
             return
         choice = choose_wait(
