--- a/src/rosepath/engine_orders.py
+++ b/src/rosepath/engine_orders.py
@@ -1,4 +1,4 @@
-"""Orders to engines, and the record that the lease's holder keeps of each."""
+"""Orders to engines, and the lease holder's record of each engine."""
 
 from collections import deque
 from collections.abc import Callable, Collection, Iterable, Mapping
@@ -8,14 +8,14 @@
 
 
 class OrderAction(StrEnum):
-    """Name what an order makes an engine do."""
+    """Enumerate the operations that an order can request."""
 
     LOAD = "load"
     UNLOAD = "unload"
 
 
 class OrderReply(StrEnum):
-    """Say what an engine answered to an order."""
+    """Enumerate an engine's answers to an order."""
 
     ACCEPTED = "accepted"
     HOLDS = "holds"
@@ -27,10 +27,10 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class Order:
-    """Order one engine to load or unload a model, or an adapter of one.
+    """Request that one engine load or unload a model or an adapter.
 
-    An engine takes it only while its count of accepted orders is
-    `expected_sequence`: one that arrives late, after newer ones, does nothing.
+    An engine accepts it only while its count of accepted orders equals
+    `expected_sequence`, so an order that arrives after newer ones has no effect.
     """
 
     action: OrderAction
@@ -44,9 +44,10 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class EngineReport:
-    """Hold what an engine says it holds; some hundred milliseconds old.
+    """Hold an engine's reported contents, a few hundred milliseconds old.
 
-    `born_ms` is the Unix time at which this life of the engine began.
+    `born_ms` is the Unix time at which this instance of the engine started.
+    `pending` names adapters with an order in progress, as `model/adapter`.
     """
 
     sequence: int
@@ -57,7 +58,7 @@
 
 
 class EnginePort(Protocol):
-    """Reach engines by address."""
+    """Send orders to engines and read their reports, by address."""
 
     async def order(
         self, address: str, order: Order, *, still_wanted: Callable[[], bool]
@@ -68,48 +69,48 @@
 
 @dataclass(slots=True, kw_only=True)
 class EngineRecord:
-    """Hold what the holder knows of an engine's contents.
+    """Hold an engine's contents as recorded by the lease holder.
 
-    `read` is set once a report was read, `known` while none is due.
-    `adapters` maps `model/adapter` to the time of its last use. `busy` is set
-    while a swap of the holder's own runs, for the model `loading`, which is
-    there at `due_s`;
-    `engine_busy` while the engine itself says that an order is in progress.
+    `has_report` is set once a report was read, `known` while no further report
+    needs to be read. `adapters` maps `model/adapter` to the time of its last
+    use. `swap_in_progress` is set during a swap of this holder, which loads the
+    model `loading` by `load_due_s`. `engine_busy` is set while the engine itself
+    reports an order in progress.
     """
 
     server: str
     born_ms: int = 0
     sequence: int = 0
-    read: bool = False
+    has_report: bool = False
     known: bool = False
-    busy: bool = False
+    swap_in_progress: bool = False
     engine_busy: bool = False
     loading: str = ""
-    due_s: float = 0.0
+    load_due_s: float = 0.0
     models: set[str] = field(default_factory=set)
     loaded_s: dict[str, float] = field(default_factory=dict)
     adapters: dict[str, float] = field(default_factory=dict)
-    looked_s: float = -1e9
+    last_read_s: float = -1e9
 
     @property
     def occupied(self) -> bool:
-        """Tell whether the engine takes no further order now."""
-        return self.busy or self.engine_busy
+        """Return whether the engine accepts no further order now."""
+        return self.swap_in_progress or self.engine_busy
 
-    def take(self, report: EngineReport, *, now_s: float) -> bool:
-        """Take in a report, unless it tells of before the last order.
+    def apply_report(self, report: EngineReport, *, now_s: float) -> bool:
+        """Apply a report unless it is older than the last order.
 
-        An engine that started again counts its orders from the start; held to
-        the count of its former life, it would never be read again.
+        A restarted engine counts its orders from zero. Compared with the count
+        of its previous instance, its reports would be dropped forever.
         """
         if report.born_ms < self.born_ms:
             return False
         if report.born_ms > self.born_ms:
-            self.begin_life(report.born_ms)
+            self.reset_for_new_instance(report.born_ms)
         if report.sequence < self.sequence:
             return False
         self.sequence = report.sequence
-        self.read = self.known = True
+        self.has_report = self.known = True
         self.engine_busy = report.busy
         self.models = set(report.models)
         names = {
@@ -120,8 +121,8 @@
         self.adapters = {name: self.adapters.get(name, now_s) for name in names}
         return True
 
-    def begin_life(self, born_ms: int) -> None:
-        """Forget what an engine was before it started again."""
+    def reset_for_new_instance(self, born_ms: int) -> None:
+        """Clear what was recorded about the engine's previous instance."""
         self.born_ms = born_ms
         self.sequence = 0
         self.known = False
@@ -129,8 +130,8 @@
         self.loaded_s.clear()
         self.adapters.clear()
 
-    def note_used(self, targets: Iterable[str], *, now_s: float) -> None:
-        """Note which adapters, as `model/adapter`, requests use now."""
+    def mark_adapters_used(self, targets: Iterable[str], *, now_s: float) -> None:
+        """Update the last use of adapters (`model/adapter`) that requests use now."""
         for target in targets:
             if target in self.adapters:
                 self.adapters[target] = now_s
@@ -142,7 +143,7 @@
         *,
         without: Collection[str] = (),
     ) -> float:
-        """Return the memory taken or promised, without some models' part."""
+        """Return the memory in use or reserved, without the share of some models."""
         models = (self.models | ({self.loading} - {""})).difference(without)
         weights = sum(size_mb.get(model, 0.0) for model in models)
         owners = (name.partition("/")[0] for name in self.adapters)
@@ -152,18 +153,18 @@
 
 
 @dataclass(slots=True, kw_only=True)
-class LoadCeiling:
-    """Bound how many loads from the weight store begin in any window."""
+class LoadRateLimit:
+    """Limit how many loads from the weight store start in any window."""
 
     window_s: float = 5.0
-    _begun: deque[float] = field(default_factory=deque)
+    _started_s: deque[float] = field(default_factory=deque)
 
-    def room(self, now_s: float, *, per_s: float) -> bool:
-        """Tell whether one more load may begin."""
-        while self._begun and self._begun[0] <= now_s - self.window_s:
-            self._begun.popleft()
-        return len(self._begun) + 1 <= per_s * self.window_s + 1
+    def allows(self, now_s: float, *, per_s: float) -> bool:
+        """Return whether one more load may start."""
+        while self._started_s and self._started_s[0] <= now_s - self.window_s:
+            self._started_s.popleft()
+        return len(self._started_s) + 1 <= per_s * self.window_s + 1
 
-    def note(self, now_s: float) -> None:
-        """Note that a load begins."""
-        self._begun.append(now_s)
+    def record(self, now_s: float) -> None:
+        """Record that a load starts."""
+        self._started_s.append(now_s)
--- a/src/rosepath/held_moves.py
+++ b/src/rosepath/held_moves.py
@@ -1,4 +1,4 @@
-"""What came to engines or went by orders: told to other VMs, and heard of them."""
+"""Models and adapters that orders loaded or unloaded, shared with other VMs."""
 
 from collections import deque
 from collections.abc import Callable
@@ -8,14 +8,18 @@
 from rosepath.peer_messages import HeldMove, PeerState
 from rosepath.prompt_caches import PromptCaches
 
-# What came or went is told for so long; then the engines' own entries say it.
-MOVES_TOLD_S = 2.0
-# The holder says which engines are occupied with each datagram.
-OCCUPIED_HOLDS_S = 0.5
+# How long a change is sent to peers; by then the engine's own entry shows it.
+CHANGES_PUBLISHED_S = 2.0
+# The holder lists the occupied engines in each datagram; the mark expires after this.
+OCCUPIED_TTL_S = 0.5
 
 
 class HeldMoves:
-    """Apply to the fleet what own orders and those of other VMs moved."""
+    """Own the recent changes of this VM's orders and apply all VMs' to the fleet.
+
+    Changes are numbered per sender and start of that sender, so that a change
+    received in several datagrams is applied once.
+    """
 
     def __init__(
         self,
@@ -30,38 +34,39 @@
         self._fleet = fleet
         self._caches = caches
         self._changed = changed
-        self._tell = tell
-        self._moves: deque[tuple[float, HeldMove]] = deque()
-        self._move_number = 0
-        self._heeded: dict[tuple[str, str], int] = {}
+        self._announce = tell
+        self._recent: deque[tuple[float, HeldMove]] = deque()
+        self._last_number = 0
+        self._last_applied: dict[tuple[str, str], int] = {}
 
     def note(self, name: str, model: str, adapter: str, there: bool) -> None:
-        """Note what came to an engine or went by an own order."""
-        self._move_number += 1
-        move = HeldMove(self._move_number, name, model, adapter, there)
-        self._moves.append((self._clock.monotonic_s(), move))
+        """Apply and publish a change made by this VM's own order."""
+        self._last_number += 1
+        move = HeldMove(self._last_number, name, model, adapter, there)
+        self._recent.append((self._clock.monotonic_s(), move))
         self._apply(move)
         if not adapter:
-            # Whoever waits for a model, or would send to one that goes, acts on
-            # this at once; the next turn to speak may be 0.15 s away.
-            self._tell()
+            # VMs with requests waiting for the model, or about to send to an
+            # unloaded one, need this at once; the next regular datagram may be
+            # 0.15 s away.
+            self._announce()
 
     def recent(self) -> list[HeldMove]:
-        """Return what came to engines or went lately, by own orders."""
-        limit_s = self._clock.monotonic_s() - MOVES_TOLD_S
-        while self._moves and self._moves[0][0] < limit_s:
-            self._moves.popleft()
-        return [move for _, move in self._moves]
+        """Return the recent changes made by this VM's own orders."""
+        limit_s = self._clock.monotonic_s() - CHANGES_PUBLISHED_S
+        while self._recent and self._recent[0][0] < limit_s:
+            self._recent.popleft()
+        return [move for _, move in self._recent]
 
     def hear(self, state: PeerState) -> None:
-        """Take in what another VM's orders moved, and keep busy."""
+        """Apply another VM's new changes, and mark the engines that it occupies."""
         key = (state.entry_vm, state.start)
-        heeded = self._heeded.get(key, 0)
+        last_applied = self._last_applied.get(key, 0)
         for move in state.moves:
-            if move.number > heeded:
+            if move.number > last_applied:
                 self._apply(move)
-                self._heeded[key] = move.number
-        until_s = self._clock.monotonic_s() + OCCUPIED_HOLDS_S
+                self._last_applied[key] = move.number
+        until_s = self._clock.monotonic_s() + OCCUPIED_TTL_S
         for name in state.occupied:
             if name in self._fleet.servers:
                 self._fleet.servers[name].ordering_until_s = until_s
--- a/src/rosepath/order_dispatcher.py
+++ b/src/rosepath/order_dispatcher.py
@@ -1,4 +1,4 @@
-"""Order models and adapters onto engines, as the holder of the lease."""
+"""Plan and send load and unload orders as the holder of the placement lease."""
 
 import asyncio
 from collections.abc import Callable, Mapping
@@ -11,7 +11,7 @@
 from rosepath.engine_orders import (
     EnginePort,
     EngineRecord,
-    LoadCeiling,
+    LoadRateLimit,
     OrderAction,
     OrderReply,
 )
@@ -23,24 +23,26 @@
 from rosepath.logs import get_logger
 from rosepath.model_arrivals import ModelArrival
 from rosepath.order_sender import OrderSender
-from rosepath.swap_carrier import LOOK_INTERVAL_S, SwapCarrier
+from rosepath.swap_executor import REPORT_INTERVAL_S, SwapExecutor
 
-# An adapter takes 5 to 10 ms to load; asked for earlier than this, an engine
-# answers that it is not there yet.
-ADAPTER_SETTLES_S = 0.015
-# A load that should be over is found to be so by the next look or two.
-SETTLING_S = 0.2
-# An adapter that was got for a request stays for that request to be sent and
-# told of: two turns of what VMs tell each other, and the way.
-ADAPTER_KEPT_TURNS = 2.0
-ADAPTER_KEPT_MIN_S = 0.2
+# An adapter takes 5 to 10 ms to load. A request that reaches the engine
+# earlier than this is rejected because the adapter is not loaded yet.
+ADAPTER_LOAD_WAIT_S = 0.015
+# A load whose expected time has passed is seen as finished by one of the next
+# two report reads.
+MIN_REMAINING_LOAD_S = 0.2
+# An adapter loaded for a request stays until that request has been sent and
+# other VMs have published it as in use: two peer update intervals, plus network
+# latency.
+ADAPTER_KEEP_INTERVALS = 2.0
+ADAPTER_KEEP_MIN_S = 0.2
 
 _log = get_logger()
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class DispatcherPorts:
-    """Hold what orders are made from."""
+    """Hold the dispatcher's dependencies."""
 
     me: str
     clock: Clock
@@ -50,19 +52,24 @@
     may_order: Callable[[], bool]
     fence: Callable[[], int]
     demand: Callable[[str], Mapping[str, ModelDemand]]
-    # How old what other VMs have at an engine may be.
+    # Bounds the age of what other VMs report as running on an engine.
     told_every_s: Callable[[], float]
+    # Called with engine, model, adapter and whether it is now loaded.
     on_held: Callable[[str, str, str, bool], None]
 
 
 class OrderDispatcher:
-    """Keep a record of every engine and order what the plan says."""
+    """Own the records of all engines and the swaps in progress.
+
+    Orders are sent only while `may_order` is true, that is, while this entry VM
+    holds the placement lease.
+    """
 
     def __init__(self, ports: DispatcherPorts) -> None:
         self._ports = ports
         self._records: dict[str, EngineRecord] = {}
         self._locks: dict[str, asyncio.Lock] = {}
-        self._ceiling = LoadCeiling()
+        self._load_rate_limit = LoadRateLimit()
         self._histories: dict[str, DemandHistory] = {}
         self._fence = 0
         self.sender = OrderSender(
@@ -71,63 +78,64 @@
             may_order=ports.may_order,
             fence=ports.fence,
         )
-        self._carrier = SwapCarrier(
+        self._executor = SwapExecutor(
             clock=ports.clock,
             engines=ports.engines,
             sender=self.sender,
-            look=self._look,
+            read_report=self._read_report,
             lock=self._lock,
             on_held=ports.on_held,
         )
         self._swaps: set[asyncio.Task[None]] = set()
 
-    # The plan
+    # Planning
 
     async def tick(self) -> None:
-        """Read what is not known yet and begin the next swaps."""
+        """Read outdated engine reports and start the next planned swaps."""
         catalog = self._ports.catalog()
-        if catalog is None or self._carrier.closing or not self.sender.may_order():
+        if catalog is None or self._executor.closing or not self.sender.may_order():
             return
-        self._begin_term()
+        self._reset_on_new_term()
         for service in catalog.services.values():
             if service.engine is not None:
                 await self._plan(service.name, service.engine, catalog)
 
     async def finish(self, limit_s: float) -> None:
-        """End what is halfway, if that does not take long; then order no more.
+        """Finish started swaps within `limit_s`, then send no more orders.
 
-        Adapters are ordered meanwhile: nobody else may do so yet.
+        Adapters are still ordered meanwhile, because no other VM holds the
+        lease yet.
         """
-        await self._carrier.finish(limit_s)
+        await self._executor.finish(limit_s)
         await self.sender.close()
 
-    def _begin_term(self) -> None:
-        """Forget, once a term, what was known: another holder ordered since."""
+    def _reset_on_new_term(self) -> None:
+        """Clear all records on a new fence: another holder may have sent orders."""
         if self._ports.fence() != self._fence:
             self._records.clear()
             self._fence = self._ports.fence()
 
     async def _plan(self, service: str, spec: EngineSpec, catalog: Catalog) -> None:
-        # What an engine that is down held is nowhere until it is back.
+        # The models of an engine that is down are unavailable until it returns.
         now_s = self._ports.clock.monotonic_s()
         servers = [
             server
             for server in self._ports.fleet.of_service(service)
             if server.usable and server.down_until_s <= now_s
         ]
-        await asyncio.gather(*(self._look_if_due(server) for server in servers))
-        # One may have left, or begun to, while reports were read.
+        await asyncio.gather(*(self._read_report_if_due(server) for server in servers))
+        # A server may have left or started draining while reports were read.
         servers = [server for server in servers if server.usable]
         views = []
         for server in servers:
             record = self._records.get(server.name)
-            if record is None or not record.read:
+            if record is None or not record.has_report:
                 continue
-            record.note_used(server.targets_in_use, now_s=now_s)
+            record.mark_adapters_used(server.targets_in_use, now_s=now_s)
             views.append(engine_view(server, record, spec, now_s=now_s))
         now_s = self._ports.clock.monotonic_s()
         demands = self._ports.demand(service)
-        good = catalog.objectives.get(service, Objectives())
+        service_objectives = catalog.objectives.get(service, Objectives())
         history = self._histories.setdefault(service, DemandHistory())
         held = {model for view in views for model in (*view.age_s, view.coming)}
         history.note(demands, held=held, now_s=now_s)
@@ -138,20 +146,20 @@
             limits=EngineLimits(
                 slots=spec.slots,
                 adapter_slots=spec.adapter_slots,
-                first_s=good.first_s,
-                gap_s=good.gap_s,
+                first_s=service_objectives.first_s,
+                gap_s=service_objectives.gap_s,
             ),
-            store_room=self._ceiling.room(now_s, per_s=spec.loads_per_s),
+            store_room=self._load_rate_limit.allows(now_s, per_s=spec.loads_per_s),
             owed=history.owed,
         )
         for swap in swaps:
             server = self._ports.fleet.servers[swap.engine]
             record = self._records[swap.engine]
-            record.busy = True
+            record.swap_in_progress = True
             record.loading = swap.model
-            record.due_s = now_s + swap_s(swap, server, spec)
+            record.load_due_s = now_s + swap_s(swap, server, spec)
             if swap.from_store:
-                self._ceiling.note(now_s)
+                self._load_rate_limit.record(now_s)
             _log.info(
                 "swap_planned",
                 step="plan",
@@ -160,68 +168,70 @@
                 victims=swap.victims,
                 gain=round(swap.gain, 3),
                 from_store=swap.from_store,
-                demand=_shown(demands.get(swap.model)),
-                victims_demand=[_shown(demands.get(name)) for name in swap.victims],
+                demand=_load_and_waiting(demands.get(swap.model)),
+                victims_demand=[
+                    _load_and_waiting(demands.get(name)) for name in swap.victims
+                ],
             )
-            carried = self._carrier.carry_out(swap, server, record, spec)
-            task = asyncio.ensure_future(carried)
+            execution = self._executor.execute(swap, server, record, spec)
+            task = asyncio.ensure_future(execution)
             self._swaps.add(task)
             task.add_done_callback(self._swaps.discard)
 
-    def _record(self, server: BackendServer) -> EngineRecord:
-        """Return the record of an engine in its present life."""
+    def _current_record(self, server: BackendServer) -> EngineRecord:
+        """Return the record of the engine's current instance."""
         record = self._records.get(server.name)
         if record is None or record.born_ms < server.entry.born_ms:
-            # A swap of the former life keeps the record that it began with.
+            # A swap on the previous instance keeps that instance's record.
             record = EngineRecord(server=server.name, born_ms=server.entry.born_ms)
             self._records[server.name] = record
         return record
 
-    async def _look_if_due(self, server: BackendServer) -> None:
-        record = self._record(server)
+    async def _read_report_if_due(self, server: BackendServer) -> None:
+        record = self._current_record(server)
         now_s = self._ports.clock.monotonic_s()
-        # An engine that says it is busy, with an adapter or with what a holder
-        # before ordered, is looked at until it is not; swaps look themselves.
-        due = not record.busy and (record.engine_busy or not record.known)
+        # An engine that reports an order in progress (an adapter, or an order of
+        # a previous holder) is polled until it is idle. Swaps poll by themselves.
+        due = not record.swap_in_progress and (record.engine_busy or not record.known)
         if (
             due
             and not server.in_backoff(now_s)
-            and now_s - record.looked_s >= LOOK_INTERVAL_S
+            and now_s - record.last_read_s >= REPORT_INTERVAL_S
         ):
-            await self._look(server, record)
+            await self._read_report(server, record)
 
-    async def _look(self, server: BackendServer, record: EngineRecord) -> bool:
-        """Read an engine's report into its record."""
-        record.looked_s = self._ports.clock.monotonic_s()
+    async def _read_report(self, server: BackendServer, record: EngineRecord) -> bool:
+        """Read an engine's report and apply it to the record."""
+        record.last_read_s = self._ports.clock.monotonic_s()
         try:
             report = await self._ports.engines.report(server.address, server.name)
         except ExchangeError as error:
             _log.info("report_unread", peer=server.name, why=error.message)
             return False
-        return record.take(report, now_s=self._ports.clock.monotonic_s())
+        return record.apply_report(report, now_s=self._ports.clock.monotonic_s())
 
     # Adapters
 
     async def ensure_adapter(
         self, service: str, server_name: str, model: str, adapter: str
     ) -> bool:
-        """Get an adapter onto an engine; False if it can't be there now."""
+        """Load an adapter onto an engine; False if that is not possible now."""
         catalog = self._ports.catalog()
         server = self._ports.fleet.servers.get(server_name)
         if catalog is None or server is None or not self.sender.may_order():
             return False
-        found = catalog.services.get(service)
-        if found is None or found.engine is None:
+        declared_service = catalog.services.get(service)
+        if declared_service is None or declared_service.engine is None:
             return False
-        spec = found.engine
+        spec = declared_service.engine
         name = f"{model}/{adapter}"
-        self._begin_term()
+        self._reset_on_new_term()
         async with self._lock(server_name):
-            record = self._record(server)
+            record = self._current_record(server)
             if server.in_backoff(self._ports.clock.monotonic_s()):
                 return name in record.adapters
             if not record.known:
-                await self._look(server, record)
+                await self._read_report(server, record)
             now_s = self._ports.clock.monotonic_s()
             if not record.known or model not in record.models:
                 return False
@@ -229,9 +239,9 @@
                 record.adapters[name] = now_s
                 return True
             if record.occupied:
-                # It takes one order at a time; another engine is quicker.
+                # The engine takes one order at a time; another engine is faster.
                 return False
-            if not await self._make_adapter_room(server, record, spec, model):
+            if not await self._free_adapter_slot(server, record, spec, model):
                 return False
             reply = await self.sender.send(
                 server, record, OrderAction.LOAD, model, adapter
@@ -239,11 +249,11 @@
             if reply not in (OrderReply.ACCEPTED, OrderReply.HOLDS):
                 return False
             record.adapters[name] = now_s
-        await asyncio.sleep(ADAPTER_SETTLES_S)
+        await asyncio.sleep(ADAPTER_LOAD_WAIT_S)
         self._ports.on_held(server_name, model, adapter, True)
         return True
 
-    async def _make_adapter_room(
+    async def _free_adapter_slot(
         self, server: BackendServer, record: EngineRecord, spec: EngineSpec, model: str
     ) -> bool:
         now_s = self._ports.clock.monotonic_s()
@@ -251,16 +261,17 @@
         size_mb = spec.models[model].adapter_mb if model in spec.models else 0.0
         if len(record.adapters) < spec.adapter_slots and size_mb <= free_mb:
             return True
-        # An adapter that no request uses is gone at once. For one in use the
-        # engine would wait until its requests are done, for seconds, and take
-        # no order meanwhile: whoever needs another adapter there would stand
-        # still for that long.
-        kept_s = ADAPTER_KEPT_MIN_S + ADAPTER_KEPT_TURNS * self._ports.told_every_s()
+        # An unused adapter is unloaded immediately. For one in use the engine
+        # waits until its requests end, which takes seconds, and accepts no other
+        # order meanwhile: requests for other adapters there would wait as long.
+        keep_s = (
+            ADAPTER_KEEP_MIN_S + ADAPTER_KEEP_INTERVALS * self._ports.told_every_s()
+        )
         in_use = server.targets_in_use
         idle = [
             (used_s, name)
             for name, used_s in record.adapters.items()
-            if used_s < now_s - kept_s and not in_use[name]
+            if used_s < now_s - keep_s and not in_use[name]
         ]
         if not idle:
             return False
@@ -277,16 +288,18 @@
 
     @property
     def occupied(self) -> list[str]:
-        """Return the engines that an order keeps busy."""
+        """Return the engines that are busy with an order or a swap."""
         return [record.server for record in self._records.values() if record.occupied]
 
     @property
     def arrivals(self) -> list[ModelArrival]:
-        """Return the models on their way to engines, and when they are there."""
+        """Return the models being loaded and how long each load still takes."""
         now_s = self._ports.clock.monotonic_s()
         return [
             ModelArrival(
-                record.server, record.loading, max(SETTLING_S, record.due_s - now_s)
+                record.server,
+                record.loading,
+                max(MIN_REMAINING_LOAD_S, record.load_due_s - now_s),
             )
             for record in self._records.values()
             if record.loading
@@ -296,5 +309,5 @@
         return self._locks.setdefault(server, asyncio.Lock())
 
 
-def _shown(demand: ModelDemand | None) -> tuple[float, int] | None:
+def _load_and_waiting(demand: ModelDemand | None) -> tuple[float, int] | None:
     return None if demand is None else (round(demand.load, 3), demand.waiting)
--- a/src/rosepath/order_sender.py
+++ b/src/rosepath/order_sender.py
@@ -1,4 +1,4 @@
-"""Send one order at a time to an engine, until its fate is known."""
+"""Send an order to an engine and retry until its outcome is known."""
 
 import asyncio
 from collections.abc import Callable
@@ -16,20 +16,21 @@
 from rosepath.fleet import BackendServer
 from rosepath.logs import get_logger
 
-ORDER_TRIES = 3
-# Longer than the silence after which an order that went out is given up.
-ANSWERED_S = 0.65
-# How often the end of what is under way is looked for.
-END_LOOK_S = 0.02
+MAX_ORDER_ATTEMPTS = 3
+# Longer than the timeout after which a sent order is abandoned.
+CLOSE_TIMEOUT_S = 0.65
+# How often to check whether orders or swaps in progress have ended.
+POLL_INTERVAL_S = 0.02
 
 _log = get_logger()
 
 
 class OrderSender:
-    """Send orders while this VM may, and remember when it last did.
+    """Send orders while this entry VM may, and track when the last one ended.
 
-    `outcomes` counts them by kind and reply; `acted_s` is when the last one was
-    answered or given up, on the clock that runs through suspension.
+    `outcomes` counts orders by kind and reply. `acted_s` is when the last order
+    was answered or abandoned, on a clock that keeps running while the VM is
+    suspended. The next lease holder delays its own orders based on it.
     """
 
     def __init__(
@@ -44,32 +45,32 @@
         self._engines = engines
         self._may_order = may_order
         self._closed = False
-        # Orders that are begun, and those of them that have gone out.
-        self._on_way = 0
-        self._sent = 0
+        # Orders that are started, and the subset that has been sent.
+        self._pending = 0
+        self._in_flight = 0
         self._fence = fence
         self.clock: Clock = BootClock()
         self.outcomes: dict[str, int] = {}
         self.acted_s = -1e9
 
     def may_order(self) -> bool:
-        """Tell whether an order may go out."""
+        """Return whether an order may be sent."""
         return not self._closed and self._may_order()
 
     @property
     def acted_ago_s(self) -> float:
-        """Return how long ago the last act was over; 0 while one is on its way."""
-        if self._sent:
+        """Return the time since the last order ended; 0 while one is in flight."""
+        if self._in_flight:
             return 0.0
         return max(0.0, self.clock.monotonic_s() - self.acted_s)
 
     async def close(self) -> None:
-        """Let no order out any more, and wait for the fate of those on the way."""
+        """Send no more orders, and wait until those in flight have ended."""
         self._closed = True
         with suppress(TimeoutError):
-            async with asyncio.timeout(ANSWERED_S):
-                while self._on_way:  # noqa: ASYNC110
-                    await asyncio.sleep(END_LOOK_S)
+            async with asyncio.timeout(CLOSE_TIMEOUT_S):
+                while self._pending:  # noqa: ASYNC110
+                    await asyncio.sleep(POLL_INTERVAL_S)
 
     async def send(
         self,
@@ -79,30 +80,31 @@
         model: str,
         adapter: str = "",
         *,
-        on_way: Callable[[], None] = lambda: None,
+        on_sent: Callable[[], None] = lambda: None,
     ) -> OrderReply | None:
-        """Send one order until its fate is known; None if it stays unknown.
+        """Send an order, with retries; None if its outcome stays unknown.
 
-        An order without an answer may still be carried out. Sent again with
-        the same expected sequence, only one of the two can be. `on_way` is
-        called each time that the order goes out, and not before it may.
+        An order without an answer may still be executed. A retry has the same
+        expected sequence, so the engine executes at most one of the two.
+        `on_sent` is called each time the order is sent, after the last check
+        that it may be.
         """
 
         sent_s: list[float] = []
         fence = self._fence()
 
-        def may_act() -> bool:
-            # A lease that was lost and is held again has another fence: a holder
-            # in between may have ordered under one that is higher than this order's.
-            allowed = self._fence() == fence and self._may_act()
+        def may_send_now() -> bool:
+            # A lease that was lost and acquired again has a new fence: a holder in
+            # between may have sent orders under a fence higher than this order's.
+            allowed = self._fence() == fence and self._try_start_sending()
             if allowed:
                 if not sent_s:
-                    self._sent += 1
+                    self._in_flight += 1
                 sent_s.append(self.acted_s)
-                on_way()
+                on_sent()
             return allowed
 
-        for _ in range(ORDER_TRIES):
+        for _ in range(MAX_ORDER_ATTEMPTS):
             if not self.may_order() or self._fence() != fence:
                 return None
             order = Order(
@@ -118,22 +120,24 @@
             why = ""
             sent_s.clear()
             self.acted_s = self.clock.monotonic_s()
-            self._on_way += 1
+            self._pending += 1
             try:
-                # The holder may be suspended while it connects, and its lease
-                # be another's by the time that the order could go out.
+                # The VM may be suspended while it connects, and the lease may
+                # have passed to another holder once the connection is open.
                 reply = await self._engines.order(
-                    server.address, order, still_wanted=may_act
+                    server.address, order, still_wanted=may_send_now
                 )
             except ExchangeError as error:
                 why = error.message
             finally:
-                self._on_way -= 1
+                self._pending -= 1
                 if sent_s:
-                    self._sent -= 1
+                    self._in_flight -= 1
                     self.acted_s = self.clock.monotonic_s()
-            self._note(order, reply, why, sent_s=sent_s[0] if sent_s else None)
-            if reply is not None and _counted(order, reply):
+            self._record_outcome(
+                order, reply, why, sent_s=sent_s[0] if sent_s else None
+            )
+            if reply is not None and _advances_sequence(order, reply):
                 record.sequence += 1
             if reply is OrderReply.CONFLICT:
                 record.known = False
@@ -143,18 +147,18 @@
         record.known = False
         return None
 
-    def _may_act(self) -> bool:
-        """Tell whether an order may go out now, and note that it does.
+    def _try_start_sending(self) -> bool:
+        """Return whether an order may be sent now, and record the time if so.
 
-        The next holder waits from the moment at which the order is answered or given
-        up. Until that is known, it is an act that goes on.
+        The next holder's wait starts when the order is answered or abandoned.
+        Until then the order counts as still in progress.
         """
         if not self.may_order():
             return False
         self.acted_s = self.clock.monotonic_s()
         return True
 
-    def _note(
+    def _record_outcome(
         self, order: Order, reply: OrderReply | None, why: str, *, sent_s: float | None
     ) -> None:
         outcome = reply.value if reply else "unanswered"
@@ -173,18 +177,19 @@
             sequence=order.expected_sequence,
             outcome=outcome,
             why=why,
-            # Null if it never went out; only what did may still arrive.
+            # Null if never sent; only a sent order may still arrive late.
             sent_ago_s=None
             if sent_s is None
             else round(self.clock.monotonic_s() - sent_s, 3),
         )
 
 
-def _counted(order: Order, reply: OrderReply) -> bool:
-    """Tell whether an engine counted an order among those it accepted.
+def _advances_sequence(order: Order, reply: OrderReply) -> bool:
+    """Return whether an engine counts the order in its sequence.
 
-    What an adapter's unload finds unused is gone at once, and the engine says
-    that it holds already; it counts that, unlike other orders that hold.
+    An engine unloads an unused adapter immediately and answers HOLDS (the
+    requested state already applies). It counts this order, but no other order
+    that it answers with HOLDS.
     """
     if reply is OrderReply.HOLDS:
         return bool(order.adapter) and order.action is OrderAction.UNLOAD
--- /dev/null
+++ b/src/rosepath/swap_executor.py
@@ -0,0 +1,194 @@
+"""Execute swaps: unload models from an engine and load another one instead."""
+
+import asyncio
+from collections.abc import Awaitable, Callable
+from contextlib import suppress
+
+from rosepath.catalog import EngineSpec
+from rosepath.clock import Clock
+from rosepath.engine_books import Swap
+from rosepath.engine_orders import EnginePort, EngineRecord, OrderAction, OrderReply
+from rosepath.engine_views import load_s_of, used_mb
+from rosepath.errors import ExchangeError
+from rosepath.fleet import BackendServer
+from rosepath.order_sender import POLL_INTERVAL_S, OrderSender
+
+# How often an engine's report is read while an order is in progress.
+REPORT_INTERVAL_S = 0.25
+# How often the report is read once a load is due. Requests are waiting for the
+# model, and reports lag by 0.1 s.
+LOADED_POLL_INTERVAL_S = 0.12
+# Delay before an order to a busy engine is retried, with backoff, and the time
+# after which retries stop. An unload waits for the running requests of its
+# model, which seldom last longer than the latter.
+BUSY_RETRY_DELAY_S = 0.06
+BUSY_RETRY_LIMIT_S = 12.0
+# Loads that share the weight store's bandwidth take up to this factor longer.
+MAX_LOAD_SLOWDOWN = 4.0
+
+
+class SwapExecutor:
+    """Send each swap's orders in sequence, and wait until its model is loaded."""
+
+    def __init__(
+        self,
+        *,
+        clock: Clock,
+        engines: EnginePort,
+        sender: OrderSender,
+        read_report: Callable[[BackendServer, EngineRecord], Awaitable[bool]],
+        lock: Callable[[str], asyncio.Lock],
+        on_held: Callable[[str, str, str, bool], None],
+    ) -> None:
+        self._clock = clock
+        self._engines = engines
+        self._sender = sender
+        self._read_report = read_report
+        self._lock = lock
+        self._on_held = on_held
+        self.closing = False
+        # Engines on which an unload was started and the load is not answered yet.
+        self._half_finished: set[str] = set()
+
+    async def finish(self, limit_s: float) -> None:
+        """Start no more swaps, and wait for those with a started unload.
+
+        An abandoned swap would leave its engine with one model less, and
+        callers would wait until the next holder has read the report.
+        """
+        self.closing = True
+        with suppress(TimeoutError):
+            async with asyncio.timeout(limit_s):
+                while self._half_finished and self._sender.may_order():  # noqa: ASYNC110
+                    await asyncio.sleep(POLL_INTERVAL_S)
+
+    async def execute(
+        self, swap: Swap, server: BackendServer, record: EngineRecord, spec: EngineSpec
+    ) -> None:
+        """Execute one swap. However it ends, the report is read again afterwards."""
+        now_s = self._clock.monotonic_s
+        try:
+            async with self._lock(server.name):
+                # An adapter load in flight when the swap was planned is done by
+                # now, and none is ordered while a swap is in progress.
+                if used_mb(record, spec, without=swap.victims) > spec.memory_mb:
+                    return
+                if self.closing:
+                    return
+                if swap.victims:
+                    self._half_finished.add(server.name)
+            for victim in swap.victims:
+                if not await self._unload(server, record, victim):
+                    return
+            size_mb = spec.models[swap.model].size_mb
+            record.loading = ""
+            if used_mb(record, spec) + size_mb > spec.memory_mb:
+                return
+            record.loading = swap.model
+            if not await self._load(server, record, swap.model):
+                return
+            self._half_finished.discard(server.name)
+            load_s = load_s_of(server, spec.models[swap.model])
+            record.load_due_s = now_s() + load_s
+            await asyncio.sleep(load_s)
+            limit_s = now_s() + MAX_LOAD_SLOWDOWN * spec.models[swap.model].load_s
+            while now_s() < limit_s and self._sender.may_order():
+                await self._read_report(server, record)
+                if swap.model in record.models and not record.engine_busy:
+                    record.loaded_s[swap.model] = now_s()
+                    self._on_held(server.name, swap.model, "", True)
+                    return
+                await asyncio.sleep(LOADED_POLL_INTERVAL_S)
+        finally:
+            self._half_finished.discard(server.name)
+            record.loading = ""
+            record.swap_in_progress = False
+            record.known = False
+
+    async def _unload(
+        self, server: BackendServer, record: EngineRecord, victim: str
+    ) -> bool:
+        announced: list[str] = []
+
+        def announce_once() -> None:
+            # The engine rejects new requests for the model from the order on.
+            if not announced:
+                announced.append(victim)
+                self._on_held(server.name, victim, "", False)
+
+        async with self._lock(server.name):
+            reply = await self._send_while_busy(
+                server, record, OrderAction.UNLOAD, victim, on_sent=announce_once
+            )
+        if reply not in (OrderReply.ACCEPTED, OrderReply.HOLDS):
+            if announced:
+                await self._retract_removal(server, record, victim)
+            return False
+        record.models.discard(victim)
+        for name in list(record.adapters):
+            if name.startswith(f"{victim}/"):
+                del record.adapters[name]
+        return True
+
+    async def _retract_removal(
+        self, server: BackendServer, record: EngineRecord, victim: str
+    ) -> None:
+        """Announce a model as still loaded unless the report shows otherwise.
+
+        Without a readable report the model counts as loaded: a rejected request
+        would correct that, while a wrong "unloaded" is never corrected because
+        no request is sent.
+        """
+        await self._read_report(server, record)
+        if victim in record.models and not server.left:
+            self._on_held(server.name, victim, "", True)
+
+    async def _load(
+        self, server: BackendServer, record: EngineRecord, model: str
+    ) -> bool:
+        # The engine rejects the load until the preceding unload is done, so the
+        # memory is free by the time that it accepts.
+        reply = await self._send_while_busy(server, record, OrderAction.LOAD, model)
+        return reply in (OrderReply.ACCEPTED, OrderReply.HOLDS)
+
+    async def _send_while_busy(
+        self,
+        server: BackendServer,
+        record: EngineRecord,
+        action: OrderAction,
+        model: str,
+        *,
+        on_sent: Callable[[], None] = lambda: None,
+    ) -> OrderReply | None:
+        """Send an order, and retry while the engine is busy with the previous one."""
+        pause_s = BUSY_RETRY_DELAY_S
+        limit_s = self._clock.monotonic_s() + BUSY_RETRY_LIMIT_S
+        while True:
+            reply = await self._sender.send(
+                server, record, action, model, on_sent=on_sent
+            )
+            now_s = self._clock.monotonic_s()
+            if reply is not OrderReply.CONFLICT or now_s > limit_s:
+                return reply
+            await asyncio.sleep(pause_s)
+            pause_s = min(pause_s * 1.6, REPORT_INTERVAL_S)
+            if pause_s >= REPORT_INTERVAL_S and await self._has_newer_sequence(
+                server, record
+            ):
+                # An abandoned order was executed late. What fits has to be
+                # planned again: this order could exceed the engine's memory.
+                return reply
+
+    async def _has_newer_sequence(
+        self, server: BackendServer, record: EngineRecord
+    ) -> bool:
+        """Return whether an engine accepted orders the record does not count.
+
+        Also true if the engine restarted and its count with it.
+        """
+        try:
+            report = await self._engines.report(server.address, server.name)
+        except ExchangeError:
+            return False
+        restarted = report.born_ms > record.born_ms
+        return restarted or report.sequence > record.sequence
--- a/tests/test_order_arrival.py
+++ b/tests/test_order_arrival.py
@@ -123,7 +123,7 @@
             given_up_s.append(clock.monotonic_s())
             raise ExchangeError("silent", step=Step.SEND, peer="e1", sent=True)
 
-        engine.carry_out = stay_silent  # type: ignore[method-assign]
+        engine.execute = stay_silent  # type: ignore[method-assign]
         assert not await dispatcher.ensure_adapter("llm", "e1", "m0", "a1")
         assert dispatcher.sender.acted_s >= given_up_s[-1]
 
@@ -144,7 +144,7 @@
             told_ago_s.append(sender.acted_ago_s)
             return OrderReply.ACCEPTED
 
-        engine.carry_out = answer_late  # type: ignore[method-assign]
+        engine.execute = answer_late  # type: ignore[method-assign]
         server = BackendServer(entry=an_entry("e1"))
         record = EngineRecord(server="e1")
         await sender.send(server, record, OrderAction.LOAD, "m1")
--- a/tests/test_order_dispatcher.py
+++ b/tests/test_order_dispatcher.py
@@ -19,7 +19,11 @@
 )
 from rosepath.errors import ExchangeError, Step
 from rosepath.fleet import Fleet, Flight, PeerLoad
-from rosepath.order_dispatcher import LOOK_INTERVAL_S, DispatcherPorts, OrderDispatcher
+from rosepath.order_dispatcher import (
+    REPORT_INTERVAL_S,
+    DispatcherPorts,
+    OrderDispatcher,
+)
 
 
 class FakeEngine:
@@ -50,9 +54,9 @@
             self.unanswered -= 1
             self.late.append(order)
             raise ExchangeError("silent", step=Step.SEND, peer="e1", sent=True)
-        return self.carry_out(order)
+        return self.execute(order)
 
-    def carry_out(self, order: Order) -> OrderReply:
+    def execute(self, order: Order) -> OrderReply:
         if self.busy or order.expected_sequence != self.sequence:
             return OrderReply.CONFLICT
         self.sequence += 1
@@ -83,7 +87,7 @@
             models={name: frozenset(held) for name, held in self.models.items()},
         )
         while self.lands_after_report and self.late:
-            self.carry_out(self.late.pop())
+            self.execute(self.late.pop())
         return report
 
 
@@ -133,7 +137,7 @@
         dispatcher = a_dispatcher(engine, clock)
         assert await dispatcher.ensure_adapter("llm", "e1", "m0", "a1")
         assert [order.expected_sequence for order in engine.orders] == [0, 0]
-        assert engine.carry_out(engine.late[0]) is OrderReply.CONFLICT
+        assert engine.execute(engine.late[0]) is OrderReply.CONFLICT
         assert engine.models["m0"] == {"a1"}
 
     asyncio.run(run())
@@ -150,7 +154,7 @@
         await dispatcher.tick()
         assert engine.orders == []
         engine.busy = False
-        clock.advance(LOOK_INTERVAL_S + 0.01)
+        clock.advance(REPORT_INTERVAL_S + 0.01)
         await dispatcher.tick()
         await until(lambda: bool(engine.orders))
         assert engine.orders[0].model == "m1"
@@ -292,7 +296,7 @@
         assert len(engine.late) == 3
         del demand["m1"]
         demand["m2"] = ModelDemand(0.0, 1)
-        clock.advance(LOOK_INTERVAL_S + 0.01)
+        clock.advance(REPORT_INTERVAL_S + 0.01)
         engine.lands_after_report = True
         await dispatcher.tick()
         await until(lambda: not dispatcher.occupied)
@@ -314,7 +318,7 @@
         # A load by its former count is turned away until the holder looks.
         await dispatcher.tick()
         await until(lambda: not dispatcher._swaps)
-        clock.advance(LOOK_INTERVAL_S)
+        clock.advance(REPORT_INTERVAL_S)
         await dispatcher.tick()
         await until(lambda: bool(engine.models))
         assert engine.orders[-1].expected_sequence == 0
@@ -325,7 +329,7 @@
 def test_a_report_of_a_former_life_is_dropped() -> None:
     record = EngineRecord(server="e1", born_ms=500, sequence=1)
     late = EngineReport(sequence=9, busy=False, born_ms=400, models={"m0": frozenset()})
-    assert not record.take(late, now_s=1.0)
+    assert not record.apply_report(late, now_s=1.0)
     assert record.models == set()
 
 
--- a/tests/test_order_swaps.py
+++ b/tests/test_order_swaps.py
@@ -78,7 +78,7 @@
         dispatcher = a_swap_for_m1(engine, moves)
         engine.unanswered = 3
         replies: list[OrderReply] = []
-        engine.connecting = lambda: replies.extend(map(engine.carry_out, engine.late))
+        engine.connecting = lambda: replies.extend(map(engine.execute, engine.late))
         await dispatcher.tick()
         await until(lambda: not dispatcher._swaps)
         assert replies[0] is OrderReply.ACCEPTED
