--- a/src/rosepath/engine_orders.py
+++ b/src/rosepath/engine_orders.py
@@ -30,7 +30,8 @@
     """Request that one engine load or unload a model or an adapter.
 
     An engine accepts it only while its count of accepted orders equals
-    `expected_sequence`, so an order that arrives after newer ones has no effect.
+    `expected_sequence`, so an order that arrives after newer ones has no
+    effect.
     """
 
     action: OrderAction
@@ -73,9 +74,9 @@
 
     `has_report` is set once a report was read, `known` while no further report
     needs to be read. `adapters` maps `model/adapter` to the time of its last
-    use. `swap_in_progress` is set during a swap of this holder, which loads the
-    model `loading` by `load_due_s`. `engine_busy` is set while the engine itself
-    reports an order in progress.
+    use. `swap_in_progress` is set during a swap of this holder, which loads
+    the model `loading` by `load_due_s`. `engine_busy` is set while the engine
+    itself reports an order in progress.
     """
 
     server: str
@@ -131,7 +132,7 @@
         self.adapters.clear()
 
     def mark_adapters_used(self, targets: Iterable[str], *, now_s: float) -> None:
-        """Update the last use of adapters (`model/adapter`) that requests use now."""
+        """Set the last use of the adapters in `targets` to now."""
         for target in targets:
             if target in self.adapters:
                 self.adapters[target] = now_s
@@ -143,7 +144,7 @@
         *,
         without: Collection[str] = (),
     ) -> float:
-        """Return the memory in use or reserved, without the share of some models."""
+        """Return the memory used or reserved by models not in `without`."""
         models = (self.models | ({self.loading} - {""})).difference(without)
         weights = sum(size_mb.get(model, 0.0) for model in models)
         owners = (name.partition("/")[0] for name in self.adapters)
--- a/src/rosepath/held_moves.py
+++ b/src/rosepath/held_moves.py
@@ -1,4 +1,4 @@
-"""Models and adapters that orders loaded or unloaded, shared with other VMs."""
+"""Models and adapters loaded or unloaded by orders, shared with peers."""
 
 from collections import deque
 from collections.abc import Callable
@@ -10,15 +10,16 @@
 
 # How long a change is sent to peers; by then the engine's own entry shows it.
 CHANGES_PUBLISHED_S = 2.0
-# The holder lists the occupied engines in each datagram; the mark expires after this.
+# The holder lists the occupied engines in each datagram; the mark expires
+# after this.
 OCCUPIED_TTL_S = 0.5
 
 
 class HeldMoves:
-    """Own the recent changes of this VM's orders and apply all VMs' to the fleet.
+    """Own the recent changes by this VM's orders; apply all VMs' to the fleet.
 
-    Changes are numbered per sender and start of that sender, so that a change
-    received in several datagrams is applied once.
+    Each VM numbers its changes from its start, so that a change received in
+    several datagrams is applied once.
     """
 
     def __init__(
@@ -59,7 +60,7 @@
         return [move for _, move in self._recent]
 
     def hear(self, state: PeerState) -> None:
-        """Apply another VM's new changes, and mark the engines that it occupies."""
+        """Apply another VM's new changes, and mark the occupied engines."""
         key = (state.entry_vm, state.start)
         last_applied = self._last_applied.get(key, 0)
         for move in state.moves:
--- a/src/rosepath/order_dispatcher.py
+++ b/src/rosepath/order_dispatcher.py
@@ -1,4 +1,4 @@
-"""Plan and send load and unload orders as the holder of the placement lease."""
+"""Plan and send load and unload orders as the placement lease holder."""
 
 import asyncio
 from collections.abc import Callable, Mapping
@@ -32,8 +32,8 @@
 # two report reads.
 MIN_REMAINING_LOAD_S = 0.2
 # An adapter loaded for a request stays until that request has been sent and
-# other VMs have published it as in use: two peer update intervals, plus network
-# latency.
+# other VMs have published it as in use: two peer update intervals, plus
+# network latency.
 ADAPTER_KEEP_INTERVALS = 2.0
 ADAPTER_KEEP_MIN_S = 0.2
 
@@ -61,8 +61,8 @@
 class OrderDispatcher:
     """Own the records of all engines and the swaps in progress.
 
-    Orders are sent only while `may_order` is true, that is, while this entry VM
-    holds the placement lease.
+    Orders are sent only while `may_order` is true, that is, while this entry
+    VM holds the placement lease.
     """
 
     def __init__(self, ports: DispatcherPorts) -> None:
@@ -110,13 +110,17 @@
         await self.sender.close()
 
     def _reset_on_new_term(self) -> None:
-        """Clear all records on a new fence: another holder may have sent orders."""
+        """Clear all records on a new fence.
+
+        Another holder may have sent orders in between.
+        """
         if self._ports.fence() != self._fence:
             self._records.clear()
             self._fence = self._ports.fence()
 
     async def _plan(self, service: str, spec: EngineSpec, catalog: Catalog) -> None:
-        # The models of an engine that is down are unavailable until it returns.
+        # The models of an engine that is down are unavailable until it
+        # returns.
         now_s = self._ports.clock.monotonic_s()
         servers = [
             server
@@ -190,8 +194,9 @@
     async def _read_report_if_due(self, server: BackendServer) -> None:
         record = self._current_record(server)
         now_s = self._ports.clock.monotonic_s()
-        # An engine that reports an order in progress (an adapter, or an order of
-        # a previous holder) is polled until it is idle. Swaps poll by themselves.
+        # An engine that reports an order in progress (an adapter, or an order
+        # of a previous holder) is polled until it is idle. Swaps poll by
+        # themselves.
         due = not record.swap_in_progress and (record.engine_busy or not record.known)
         if (
             due
@@ -215,7 +220,7 @@
     async def ensure_adapter(
         self, service: str, server_name: str, model: str, adapter: str
     ) -> bool:
-        """Load an adapter onto an engine; False if that is not possible now."""
+        """Load an adapter onto an engine; False if it cannot be loaded now."""
         catalog = self._ports.catalog()
         server = self._ports.fleet.servers.get(server_name)
         if catalog is None or server is None or not self.sender.may_order():
@@ -239,7 +244,8 @@
                 record.adapters[name] = now_s
                 return True
             if record.occupied:
-                # The engine takes one order at a time; another engine is faster.
+                # The engine takes one order at a time; another engine is
+                # faster.
                 return False
             if not await self._free_adapter_slot(server, record, spec, model):
                 return False
@@ -262,8 +268,9 @@
         if len(record.adapters) < spec.adapter_slots and size_mb <= free_mb:
             return True
         # An unused adapter is unloaded immediately. For one in use the engine
-        # waits until its requests end, which takes seconds, and accepts no other
-        # order meanwhile: requests for other adapters there would wait as long.
+        # waits until its requests end, which takes seconds, and accepts no
+        # other order meanwhile: requests for other adapters there would wait
+        # as long.
         keep_s = (
             ADAPTER_KEEP_MIN_S + ADAPTER_KEEP_INTERVALS * self._ports.told_every_s()
         )
@@ -293,7 +300,7 @@
 
     @property
     def arrivals(self) -> list[ModelArrival]:
-        """Return the models being loaded and how long each load still takes."""
+        """Return the models being loaded, with the time each still takes."""
         now_s = self._ports.clock.monotonic_s()
         return [
             ModelArrival(
--- a/src/rosepath/order_sender.py
+++ b/src/rosepath/order_sender.py
@@ -28,9 +28,9 @@
 class OrderSender:
     """Send orders while this entry VM may, and track when the last one ended.
 
-    `outcomes` counts orders by kind and reply. `acted_s` is when the last order
-    was answered or abandoned, on a clock that keeps running while the VM is
-    suspended. The next lease holder delays its own orders based on it.
+    `outcomes` counts orders by kind and reply. `acted_s` is when the last
+    order was answered or abandoned, on a clock that keeps running while the VM
+    is suspended. The next lease holder delays its own orders based on it.
     """
 
     def __init__(
@@ -59,7 +59,7 @@
 
     @property
     def acted_ago_s(self) -> float:
-        """Return the time since the last order ended; 0 while one is in flight."""
+        """Return the time since the last order ended; 0 if one is pending."""
         if self._in_flight:
             return 0.0
         return max(0.0, self.clock.monotonic_s() - self.acted_s)
@@ -94,8 +94,9 @@
         fence = self._fence()
 
         def may_send_now() -> bool:
-            # A lease that was lost and acquired again has a new fence: a holder in
-            # between may have sent orders under a fence higher than this order's.
+            # A lease that was lost and acquired again has a new fence: a
+            # holder in between may have sent orders under a fence higher than
+            # this order's.
             allowed = self._fence() == fence and self._try_start_sending()
             if allowed:
                 if not sent_s:
--- a/src/rosepath/swap_executor.py
+++ b/src/rosepath/swap_executor.py
@@ -28,7 +28,10 @@
 
 
 class SwapExecutor:
-    """Send each swap's orders in sequence, and wait until its model is loaded."""
+    """Send each swap's orders in sequence and wait until its model is loaded.
+
+    `closing` is set once no more swaps may start.
+    """
 
     def __init__(
         self,
@@ -47,7 +50,8 @@
         self._lock = lock
         self._on_held = on_held
         self.closing = False
-        # Engines on which an unload was started and the load is not answered yet.
+        # Engines on which an unload was started and the load is not answered
+        # yet.
         self._half_finished: set[str] = set()
 
     async def finish(self, limit_s: float) -> None:
@@ -65,12 +69,12 @@
     async def execute(
         self, swap: Swap, server: BackendServer, record: EngineRecord, spec: EngineSpec
     ) -> None:
-        """Execute one swap. However it ends, the report is read again afterwards."""
+        """Execute one swap; however it ends, the report is read again."""
         now_s = self._clock.monotonic_s
         try:
             async with self._lock(server.name):
-                # An adapter load in flight when the swap was planned is done by
-                # now, and none is ordered while a swap is in progress.
+                # An adapter load in flight when the swap was planned is done
+                # by now, and none is ordered while a swap is in progress.
                 if used_mb(record, spec, without=swap.victims) > spec.memory_mb:
                     return
                 if self.closing:
@@ -135,9 +139,9 @@
     ) -> None:
         """Announce a model as still loaded unless the report shows otherwise.
 
-        Without a readable report the model counts as loaded: a rejected request
-        would correct that, while a wrong "unloaded" is never corrected because
-        no request is sent.
+        Without a readable report the model counts as loaded: a rejected
+        request would correct that, while a model wrongly taken for unloaded
+        gets no request that could.
         """
         await self._read_report(server, record)
         if victim in record.models and not server.left:
@@ -146,8 +150,8 @@
     async def _load(
         self, server: BackendServer, record: EngineRecord, model: str
     ) -> bool:
-        # The engine rejects the load until the preceding unload is done, so the
-        # memory is free by the time that it accepts.
+        # The engine rejects the load until the preceding unload is done, so
+        # the memory is free by the time that it accepts.
         reply = await self._send_while_busy(server, record, OrderAction.LOAD, model)
         return reply in (OrderReply.ACCEPTED, OrderReply.HOLDS)
 
@@ -160,7 +164,7 @@
         *,
         on_sent: Callable[[], None] = lambda: None,
     ) -> OrderReply | None:
-        """Send an order, and retry while the engine is busy with the previous one."""
+        """Send an order; retry while the engine is busy with another one."""
         pause_s = BUSY_RETRY_DELAY_S
         limit_s = self._clock.monotonic_s() + BUSY_RETRY_LIMIT_S
         while True:
--- a/tests/test_order_arrival.py
+++ b/tests/test_order_arrival.py
@@ -1,7 +1,7 @@
-"""From the last check of a lease to an order's arrival at the engine.
+"""Orders in flight while the placement lease changes hands.
 
-The next holder waits for `handover_s` from the last act of the one before. Each
-test here is a course in which an older order arrives after that.
+The next holder waits for `handover_s` after the previous holder's last order.
+Each test covers a way in which an older order could arrive after that wait.
 """
 
 import asyncio
@@ -35,13 +35,14 @@
     turn_s=LEASE.turn_s,
 )
 TICK_S = 0.05
-# Beyond what the kernel takes for a connection that nobody reads from.
-MUCH = b"x" * 16_000_000
+# More than the kernel buffers for a connection that is not read from.
+LARGE_BODY = b"x" * 16_000_000
 
 
-def test_what_is_given_up_is_not_delivered_afterwards() -> None:
-    # An order was given up after a silence and its connection closed. The kernel
-    # went on sending what it still held, and the engine took it a second later.
+def test_timed_out_request_is_not_delivered_afterwards() -> None:
+    # An order times out and its connection is closed. Without a reset, the
+    # kernel keeps sending the buffered data, and the engine receives the order
+    # a second later.
     async def run() -> None:
         loop = asyncio.get_running_loop()
         with socket.socket() as listening:
@@ -55,7 +56,7 @@
                         address=f"{host}:{port}",
                         method="POST",
                         path="/",
-                        body=MUCH,
+                        body=LARGE_BODY,
                         progress_timeout_s=0.001,
                     )
                 )
@@ -65,14 +66,14 @@
             accepted, _ = listening.accept()
             with accepted:
                 accepted.settimeout(10)
-                ended = await loop.run_in_executor(None, how_it_ends, accepted)
+                ended = await loop.run_in_executor(None, read_until_end, accepted)
         assert ended == "reset"
 
     asyncio.run(run())
 
 
-def how_it_ends(connection: socket.socket) -> str:
-    """Read a connection to its end."""
+def read_until_end(connection: socket.socket) -> str:
+    """Read a connection until it ends, and return how it ended."""
     try:
         while connection.recv(65536):
             pass
@@ -82,18 +83,18 @@
 
 
 @dataclass
-class Term:
-    """The fence of a lease that changes while an order's connection is made."""
+class FenceState:
+    """Hold the fence of a lease that changes while an order is connecting."""
 
     fence: int = 7000
     dispatched: list[int] = field(default_factory=list)
 
 
-def test_an_order_does_not_go_out_under_an_earlier_fence() -> None:
-    # A holder lost its lease while it connected, and held it again, under the
-    # next fence, as the connection was there: the order went out under the old.
+def test_order_is_not_sent_with_outdated_fence() -> None:
+    # While connecting, a holder loses its lease and acquires it again under
+    # the next fence. The order must not be sent with the old fence.
     async def run() -> None:
-        engine, clock, term = FakeEngine("m0"), ManualClock(), Term()
+        engine, clock, term = FakeEngine("m0"), ManualClock(), FenceState()
         dispatcher = a_dispatcher(engine, clock)
         dispatcher.sender = OrderSender(
             me="vm-1",
@@ -101,47 +102,48 @@
             may_order=lambda: True,
             fence=lambda: term.fence,
         )
-        engine.connecting = lambda: setattr(term, "fence", 8000)
+        engine.on_connect = lambda: setattr(term, "fence", 8000)
         await dispatcher.ensure_adapter("llm", "e1", "m0", "a1")
         assert [order.fence for order in engine.orders] in ([], [8000])
 
     asyncio.run(run())
 
 
-def test_an_order_is_an_act_until_its_fate_is_known() -> None:
-    # An order was still on its way over a full link, half a second after it went
-    # out, as its holder resigned. The next one counted its wait from the sending,
-    # and ordered 0.15 s after the first had given the order up.
+def test_last_order_time_is_when_it_was_abandoned() -> None:
+    # A holder resigns while its order has been in flight for 0.5 s on a
+    # saturated link. If the next holder's wait starts at the sending, its
+    # orders may follow 0.15 s after the first holder abandoned its own.
     async def run() -> None:
         engine, clock = FakeEngine("m0"), ManualClock()
         dispatcher = a_dispatcher(engine, clock)
         dispatcher.sender.clock = clock
         given_up_s: list[float] = []
 
-        def stay_silent(order: Order) -> OrderReply:
+        def time_out(order: Order) -> OrderReply:
             clock.advance(ORDER_TIMEOUT_S)
             given_up_s.append(clock.monotonic_s())
             raise ExchangeError("silent", step=Step.SEND, peer="e1", sent=True)
 
-        engine.execute = stay_silent  # type: ignore[method-assign]
+        engine.execute = time_out  # type: ignore[method-assign]
         assert not await dispatcher.ensure_adapter("llm", "e1", "m0", "a1")
         assert dispatcher.sender.acted_s >= given_up_s[-1]
 
     asyncio.run(run())
 
 
-def test_an_act_goes_on_while_an_order_is_on_its_way() -> None:
-    # A holder that resigned told how long ago it had sent its last order, though
-    # that order was still on its way; once it is answered, the time runs.
+def test_last_order_age_is_zero_while_in_flight() -> None:
+    # A resigning holder must report an age of 0 while its last order is in
+    # flight, instead of the time since sending. The age grows only after the
+    # answer.
     async def run() -> None:
         engine, clock = FakeEngine("m0"), ManualClock()
         sender = a_dispatcher(engine, clock).sender
         sender.clock = clock
-        told_ago_s: list[float] = []
+        reported_ages_s: list[float] = []
 
         def answer_late(_: Order) -> OrderReply:
             clock.advance(0.5)
-            told_ago_s.append(sender.acted_ago_s)
+            reported_ages_s.append(sender.acted_ago_s)
             return OrderReply.ACCEPTED
 
         engine.execute = answer_late  # type: ignore[method-assign]
@@ -149,14 +151,14 @@
         record = EngineRecord(server="e1")
         await sender.send(server, record, OrderAction.LOAD, "m1")
         clock.advance(0.25)
-        assert told_ago_s == [0.0]
+        assert reported_ages_s == [0.0]
         assert sender.acted_ago_s == 0.25
 
     asyncio.run(run())
 
 
-class SlowToTell(FakePlatform):
-    """Carry out a write whose answer is lost, as is the next read's."""
+class AnswerLosingPlatform(FakePlatform):
+    """Execute a write, but lose its answer and that of the next read."""
 
     lose_both = False
     lose_read = False
@@ -176,17 +178,19 @@
         return await super().put(name, value, expected_version=expected_version)
 
 
-async def acts_after(platform: SlowToTell, *, turn: bool) -> float:
-    """Return how long after the last act of one holder the next may act.
+async def wait_until_next_order(
+    platform: AnswerLosingPlatform, *, next_held_before: bool
+) -> float:
+    """Return the time from one holder's last order until the next may order.
 
-    The first resigns right after an act. With `turn`, the next one held the lease
-    before it.
+    The first resigns right after an order. With `next_held_before`, the next
+    one has held the lease earlier.
     """
     clock = ManualClock()
     first, second = (
         LeaseKeeper(platform, me=name, policy=POLICY, clock=clock) for name in "ab"
     )
-    if turn:
+    if next_held_before:
         await second.step("l", wanted=True)
         await second.give_up("l")
         clock.advance(10.0)
@@ -206,25 +210,30 @@
     return clock.monotonic_s() - acted_s
 
 
-def test_who_finds_its_own_unanswered_write_waits_for_the_holder_before() -> None:
-    # The next holder's write and the read after it got no answer. It then found
-    # itself named in the lease, took that for its own earlier one, and acted
-    # without the wait for what the holder before had sent.
-    after_s = asyncio.run(acts_after(SlowToTell(), turn=False))
-    assert after_s >= LEASE.handover_s - 1e-6
+def test_own_unanswered_write_does_not_skip_wait_for_previous_holder() -> None:
+    # The next holder's write and the following read get no answer. It then
+    # finds itself named in the lease. If it takes that for a lease of its own
+    # from earlier, it skips the wait for the previous holder's orders.
+    wait_s = asyncio.run(
+        wait_until_next_order(AnswerLosingPlatform(), next_held_before=False)
+    )
+    assert wait_s >= LEASE.handover_s - 1e-6
 
 
-def test_who_finds_its_own_unanswered_write_takes_no_turns() -> None:
-    # The same for a VM that held the lease before: engines took its orders in
-    # turns with the other's.
-    after_s = asyncio.run(acts_after(SlowToTell(), turn=True))
-    assert after_s >= LEASE.turn_s - 1e-6
+def test_own_unanswered_write_does_not_skip_wait_of_earlier_holder() -> None:
+    # The same for a VM that held the lease earlier: without the wait, engines
+    # accept its orders interleaved with the other holder's.
+    wait_s = asyncio.run(
+        wait_until_next_order(AnswerLosingPlatform(), next_held_before=True)
+    )
+    assert wait_s >= LEASE.turn_s - 1e-6
 
 
-def test_who_follows_a_backed_holder_waits_for_its_last_order() -> None:
-    # In an outage of the store a holder went on by the others' word. Its lease had
-    # long stood unchanged, so that who stopped hearing it ordered at once as the
-    # store came back, 0.3 s after an order of the first may have gone out.
+def test_successor_of_backed_holder_waits_for_its_last_order() -> None:
+    # During a store outage a holder continues because its peers back it, while
+    # its stored lease stays unchanged. If the wait counts from that lease, a
+    # VM that no longer receives from the holder sends orders as soon as the
+    # store is back, 0.3 s after the holder's last possible order.
     async def run() -> None:
         nodes, store, clock = three_nodes()
         await play(nodes, clock, 3.0)
@@ -236,13 +245,13 @@
         acted_s = clock.monotonic_s()
         store.unreached_by = {holder.name}
 
-        def nobody(_: Node) -> bool:
+        def no_node(_: Node) -> bool:
             return False
 
         while not any(node.coordinator.holds for node in others):
             if holder.coordinator.holds:
                 acted_s = clock.monotonic_s()
-            await play(nodes, clock, TICK_S, speaking=nobody)
+            await play(nodes, clock, TICK_S, speaking=no_node)
         assert clock.monotonic_s() - acted_s >= LEASE.handover_s - 1e-6
 
     asyncio.run(run())
--- a/tests/test_order_dispatcher.py
+++ b/tests/test_order_dispatcher.py
@@ -1,4 +1,4 @@
-"""The holder's orders: late ones, busy engines, places for adapters."""
+"""Orders of the lease holder: late orders, busy engines, adapter slots."""
 
 import asyncio
 from collections.abc import Callable
@@ -27,32 +27,36 @@
 
 
 class FakeEngine:
-    """Carry out orders as engines do: one at a time, counted, maybe unanswered."""
+    """Execute one order at a time and count it.
+
+    The next `unanswered_left` orders are neither executed nor answered, but
+    kept in `unanswered_orders`.
+    """
 
     def __init__(self, *models: str) -> None:
         self.sequence = 0
         self.born_ms = 0
         self.busy = False
         self.models: dict[str, set[str]] = {name: set() for name in models}
-        self.unanswered = 0
-        self.late: list[Order] = []
+        self.unanswered_left = 0
+        self.unanswered_orders: list[Order] = []
         self.orders: list[Order] = []
         self.reports = 0
-        self.lands_after_report = False
+        self.execute_late_after_report = False
         self.in_use: set[str] = set()
-        self.lagging: EngineReport | None = None
-        self.connecting: Callable[[], None] = lambda: None
+        self.stale_report: EngineReport | None = None
+        self.on_connect: Callable[[], None] = lambda: None
 
     async def order(
         self, _: str, order: Order, *, still_wanted: Callable[[], bool]
     ) -> OrderReply:
-        self.connecting()
+        self.on_connect()
         if not still_wanted():
             raise ExchangeError("unwanted", step=Step.SEND, peer="e1", sent=False)
         self.orders.append(order)
-        if self.unanswered:
-            self.unanswered -= 1
-            self.late.append(order)
+        if self.unanswered_left:
+            self.unanswered_left -= 1
+            self.unanswered_orders.append(order)
             raise ExchangeError("silent", step=Step.SEND, peer="e1", sent=True)
         return self.execute(order)
 
@@ -65,7 +69,8 @@
             if order.action is OrderAction.LOAD:
                 adapters.add(order.adapter)
             elif f"{order.model}/{order.adapter}" in self.in_use:
-                # It waits for the runs, and takes no order until they end.
+                # The unload waits for running requests and blocks other
+                # orders.
                 self.busy = True
             else:
                 adapters.discard(order.adapter)
@@ -78,16 +83,16 @@
 
     async def report(self, _: str, __: str) -> EngineReport:
         self.reports += 1
-        if self.lagging is not None:
-            return self.lagging
+        if self.stale_report is not None:
+            return self.stale_report
         report = EngineReport(
             sequence=self.sequence,
             busy=self.busy,
             born_ms=self.born_ms,
             models={name: frozenset(held) for name, held in self.models.items()},
         )
-        while self.lands_after_report and self.late:
-            self.execute(self.late.pop())
+        while self.execute_late_after_report and self.unanswered_orders:
+            self.execute(self.unanswered_orders.pop())
         return report
 
 
@@ -127,25 +132,26 @@
             await asyncio.sleep(0)
 
 
-def test_an_order_without_an_answer_is_sent_again_and_done_once() -> None:
-    # The answer is lost, and the order carried out seconds later. Sent again
-    # with the same expected sequence, one of the two is refused: the engine
-    # never holds more than the record reckons with.
+def test_unanswered_order_is_retried_and_executed_once() -> None:
+    # An order's answer is lost, and the order is executed seconds later. The
+    # retry has the same expected sequence, so the engine rejects one of the
+    # two and never holds more than the record accounts for.
     async def run() -> None:
         engine, clock = FakeEngine("m0"), ManualClock()
-        engine.unanswered = 1
+        engine.unanswered_left = 1
         dispatcher = a_dispatcher(engine, clock)
         assert await dispatcher.ensure_adapter("llm", "e1", "m0", "a1")
         assert [order.expected_sequence for order in engine.orders] == [0, 0]
-        assert engine.execute(engine.late[0]) is OrderReply.CONFLICT
+        assert engine.execute(engine.unanswered_orders[0]) is OrderReply.CONFLICT
         assert engine.models["m0"] == {"a1"}
 
     asyncio.run(run())
 
 
-def test_an_engine_that_said_it_was_busy_is_looked_at_again() -> None:
-    # An adapter's unload waited for its runs when the report was read. Nobody
-    # looked again, and the engine took no order for the rest of the day.
+def test_report_of_busy_engine_is_read_again() -> None:
+    # The report was read while an adapter's unload waited for running
+    # requests. If it is never read again, the engine counts as busy forever
+    # and gets no more orders.
     async def run() -> None:
         engine, clock = FakeEngine("m0"), ManualClock()
         demand = {"m1": ModelDemand(0.0, 2)}
@@ -162,8 +168,8 @@
     asyncio.run(run())
 
 
-def test_adapters_never_exceed_the_places_of_an_engine() -> None:
-    # An engine that is ordered to hold more than it can crashes.
+def test_adapters_never_exceed_engine_slots() -> None:
+    # An engine crashes if it is ordered to hold more than it has slots for.
     async def run() -> None:
         engine, clock = FakeEngine("m0"), ManualClock()
         dispatcher = a_dispatcher(engine, clock)
@@ -177,11 +183,10 @@
     asyncio.run(run())
 
 
-def test_an_adapter_in_use_does_not_make_way_for_another() -> None:
-    # All places for adapters are taken, one by a long stream. Its adapter was
-    # asked for longest ago and was ordered away; the engine waited seconds for
-    # the stream to end, took no order meanwhile, and whoever needed any other
-    # adapter there was refused in the end.
+def test_adapter_in_use_is_not_evicted() -> None:
+    # All adapter slots are taken, and the least recently requested adapter
+    # serves a long stream. Evicting it blocks the engine until the stream
+    # ends, and requests for other adapters there are refused.
     async def run() -> None:
         engine, clock, fleet = FakeEngine("m0"), ManualClock(), Fleet()
         dispatcher = a_dispatcher(engine, clock, fleet=fleet)
@@ -194,7 +199,7 @@
         assert await dispatcher.ensure_adapter("llm", "e1", "m0", "a3")
         assert engine.models["m0"] == {"a1", "a3"}
         assert not engine.busy
-        # With every place in use, the request goes to another engine.
+        # With every slot in use, the request goes to another engine.
         fleet.servers["e1"].flights["q1"] = Flight(target="m0/a3")
         clock.advance(1.0)
         assert not await dispatcher.ensure_adapter("llm", "e1", "m0", "a2")
@@ -203,10 +208,10 @@
     asyncio.run(run())
 
 
-def test_an_adapter_that_goes_at_once_is_counted() -> None:
-    # An engine answers the unload of an unused adapter as done already, and
-    # counts it. Not counted here, each order after such an unload met another
-    # sequence than it expected and was refused: one more round a request.
+def test_immediate_adapter_unload_advances_sequence() -> None:
+    # An engine answers the unload of an unused adapter as already done, and
+    # counts it. If the holder does not count it, the next order has the wrong
+    # expected sequence and is rejected, which costs one more round trip.
     async def run() -> None:
         engine, clock = FakeEngine("m0"), ManualClock()
         dispatcher = a_dispatcher(engine, clock)
@@ -219,18 +224,18 @@
     asyncio.run(run())
 
 
-def test_an_adapter_ordered_before_the_first_plan_of_a_term_is_counted() -> None:
-    # A VM that just became the holder is asked for an adapter before it plans.
-    # Forgotten with the first plan, its order made a swap expect a sequence of
-    # before it, read from a report that lags; the swap was refused until it was
-    # given up, while a crowd waited.
+def test_adapter_order_before_first_plan_of_term_advances_sequence() -> None:
+    # A new holder orders an adapter before its first plan. If the plan clears
+    # the record of that order, the next swap takes its expected sequence from
+    # a lagging report and is rejected until it is abandoned, while requests
+    # wait.
     async def run() -> None:
         engine, clock = FakeEngine("m0"), ManualClock()
         demand = {"m1": ModelDemand(0.0, 9)}
         dispatcher = a_dispatcher(engine, clock, demand=demand)
         stale = await engine.report("", "")
         assert await dispatcher.ensure_adapter("llm", "e1", "m0", "a1")
-        engine.lagging = stale
+        engine.stale_report = stale
         await dispatcher.tick()
         await until(lambda: len(engine.orders) > 1)
         assert engine.orders[1].expected_sequence == 1
@@ -238,40 +243,40 @@
     asyncio.run(run())
 
 
-def test_an_act_is_counted_from_when_its_order_goes_out() -> None:
-    # Connecting to an engine took half a second. The holder then resigned and
-    # told how long ago it had acted, from before it connected: the next holder
-    # ordered while the order was still on its way.
+def test_order_time_starts_when_order_is_sent() -> None:
+    # Connecting to an engine takes 0.5 s. If the last order's time is taken
+    # before connecting, a resigning holder reports it as too old, and the next
+    # holder sends orders while this one is still in flight.
     async def run() -> None:
         engine, clock = FakeEngine("m0"), ManualClock()
         dispatcher = a_dispatcher(engine, clock)
         dispatcher.sender.clock = clock
-        connected_s: list[float] = []
+        connected_at_s: list[float] = []
 
         def connect() -> None:
             clock.advance(0.5)
-            connected_s.append(clock.monotonic_s())
+            connected_at_s.append(clock.monotonic_s())
 
-        engine.connecting = connect
+        engine.on_connect = connect
         assert await dispatcher.ensure_adapter("llm", "e1", "m0", "a1")
-        assert dispatcher.sender.acted_s == connected_s[0]
+        assert dispatcher.sender.acted_s == connected_at_s[0]
 
     asyncio.run(run())
 
 
-def test_who_loses_the_lease_while_it_connects_sends_nothing() -> None:
+def test_lease_lost_while_connecting_sends_no_order() -> None:
     async def run() -> None:
         engine, clock = FakeEngine("m0"), ManualClock()
-        holding = [True]
-        dispatcher = a_dispatcher(engine, clock, may_order=lambda: holding[0])
-        engine.connecting = lambda: holding.__setitem__(0, False)
+        holds_lease = [True]
+        dispatcher = a_dispatcher(engine, clock, may_order=lambda: holds_lease[0])
+        engine.on_connect = lambda: holds_lease.__setitem__(0, False)
         assert not await dispatcher.ensure_adapter("llm", "e1", "m0", "a1")
         assert engine.orders == []
 
     asyncio.run(run())
 
 
-def test_who_no_longer_holds_the_lease_sends_nothing() -> None:
+def test_no_orders_without_lease() -> None:
     async def run() -> None:
         engine, clock = FakeEngine("m0"), ManualClock()
         dispatcher = a_dispatcher(engine, clock, may_order=lambda: False)
@@ -282,22 +287,22 @@
     asyncio.run(run())
 
 
-def test_an_order_that_lands_late_is_reckoned_with_before_the_next() -> None:
-    # A load is given up unanswered, and lands just before another is sent.
-    # Sent again with the count that the engine then shows, the second would
-    # load more than the engine's memory holds, and crash it.
+def test_late_executed_order_is_accounted_for_before_next_order() -> None:
+    # A load is abandoned without an answer and executed just before another is
+    # sent. A retry of the second with the engine's new sequence would exceed
+    # the engine's memory and crash it.
     async def run() -> None:
         engine, clock = FakeEngine("m0"), ManualClock()
         demand = {"m0": ModelDemand(0.1, 0), "m1": ModelDemand(0.0, 1)}
         dispatcher = a_dispatcher(engine, clock, demand=demand)
-        engine.unanswered = 3
+        engine.unanswered_left = 3
         await dispatcher.tick()
         await until(lambda: not dispatcher.occupied)
-        assert len(engine.late) == 3
+        assert len(engine.unanswered_orders) == 3
         del demand["m1"]
         demand["m2"] = ModelDemand(0.0, 1)
         clock.advance(REPORT_INTERVAL_S + 0.01)
-        engine.lands_after_report = True
+        engine.execute_late_after_report = True
         await dispatcher.tick()
         await until(lambda: not dispatcher.occupied)
         assert set(engine.models) == {"m0", "m1"}
@@ -305,17 +310,17 @@
     asyncio.run(run())
 
 
-def test_an_engine_that_started_again_is_read_and_ordered() -> None:
-    # Engines count their orders from the start of each life. The holder took
-    # the lower count of a new life for a report from before its last order, and
-    # never read or ordered that engine again.
+def test_restarted_engine_is_read_and_gets_orders() -> None:
+    # A restarted engine counts its orders from zero. If the holder takes the
+    # lower count for a report older than its last order, it drops every report
+    # and sends that engine no more orders.
     async def run() -> None:
         engine, clock = FakeEngine("m0"), ManualClock()
         dispatcher = a_dispatcher(engine, clock)
         for number in range(2):
             assert await dispatcher.ensure_adapter("llm", "e1", "m0", f"a{number}")
         engine.models, engine.sequence, engine.born_ms = {}, 0, 500
-        # A load by its former count is turned away until the holder looks.
+        # A load with the previous count is rejected until the report is read.
         await dispatcher.tick()
         await until(lambda: not dispatcher._swaps)
         clock.advance(REPORT_INTERVAL_S)
@@ -326,20 +331,22 @@
     asyncio.run(run())
 
 
-def test_a_report_of_a_former_life_is_dropped() -> None:
+def test_report_of_previous_instance_is_dropped() -> None:
     record = EngineRecord(server="e1", born_ms=500, sequence=1)
-    late = EngineReport(sequence=9, busy=False, born_ms=400, models={"m0": frozenset()})
-    assert not record.apply_report(late, now_s=1.0)
+    unanswered_orders = EngineReport(
+        sequence=9, busy=False, born_ms=400, models={"m0": frozenset()}
+    )
+    assert not record.apply_report(unanswered_orders, now_s=1.0)
     assert record.models == set()
 
 
-@pytest.mark.parametrize("gone", [True, False])
-def test_an_engine_that_leaves_while_reports_are_read_is_planned_for_no_more(
-    gone: bool,
+@pytest.mark.parametrize("removed", [True, False])
+def test_engine_leaving_during_report_read_is_not_planned_for(
+    removed: bool,
 ) -> None:
-    # It left between the choice of the engines to read and the plan, which then
-    # chose it: the loop failed on the missing server, and no engine got a model in
-    # that turn; one that had only begun to leave was ordered to load.
+    # An engine leaves after it was selected for reading and before the plan. A
+    # plan that chooses it fails on the missing server, and no engine gets a
+    # model in that tick; one that is only draining would be ordered to load.
     async def run() -> None:
         engine, clock, fleet = FakeEngine("m0"), ManualClock(), Fleet()
         demand = {"m1": ModelDemand(0.0, 2)}
@@ -347,7 +354,7 @@
         read = engine.report
 
         async def report(address: str, server: str) -> EngineReport:
-            if gone:
+            if removed:
                 fleet.remove("e1")
             else:
                 fleet.put(replace(fleet.servers["e1"].entry, draining=True))
--- a/tests/test_order_swaps.py
+++ b/tests/test_order_swaps.py
@@ -1,4 +1,4 @@
-"""Swaps: nothing is ended before it is known that what follows may follow."""
+"""Swaps: models are unloaded only if the replacement fits."""
 
 import asyncio
 from collections.abc import Callable
@@ -13,101 +13,111 @@
 from rosepath.errors import ExchangeError, Step
 from rosepath.order_dispatcher import OrderDispatcher
 
-Move = tuple[str, str, str, bool]
+Change = tuple[str, str, str, bool]
 
 
-def a_swap_for_m1(
+def dispatcher_wanting_m1(
     engine: FakeEngine,
-    moves: list[Move],
+    changes: list[Change],
     *,
     may_order: Callable[[], bool] = lambda: True,
 ) -> OrderDispatcher:
-    """Return a dispatcher that wants m1 where two other models are."""
+    """Return a dispatcher with demand for m1, which `engine` lacks."""
     return a_dispatcher(
         engine,
         ManualClock(),
         demand={"m1": ModelDemand(0.0, 9)},
         may_order=may_order,
-        on_held=lambda *move: moves.append(move),
+        on_held=lambda *change: changes.append(change),
     )
 
 
-def test_a_model_whose_unload_failed_is_told_to_be_there() -> None:
-    # Callers got `no_server` for a model that an engine held. Its unload was
-    # told to all VMs and then not answered, nor carried out; nobody took the
-    # word back until the engine's entry was next written.
+def test_model_is_announced_as_loaded_after_failed_unload() -> None:
+    # A model's unload is announced to all VMs, but neither answered nor
+    # executed. If the announcement is not retracted, callers get `no_server`
+    # for a loaded model until the engine's entry is next written.
     async def run() -> None:
-        engine, moves = FakeEngine("m0", "m2"), list[Move]()
-        dispatcher = a_swap_for_m1(engine, moves)
-        engine.unanswered = 3
+        engine, changes = FakeEngine("m0", "m2"), list[Change]()
+        dispatcher = dispatcher_wanting_m1(engine, changes)
+        engine.unanswered_left = 3
         await dispatcher.tick()
         await until(lambda: not dispatcher._swaps)
         victim = engine.orders[0].model
         assert engine.orders[0].action is OrderAction.UNLOAD
         assert victim in engine.models
-        assert moves == [("e1", victim, "", False), ("e1", victim, "", True)]
+        assert changes == [("e1", victim, "", False), ("e1", victim, "", True)]
 
     asyncio.run(run())
 
 
-def test_a_model_whose_unload_may_have_failed_is_told_to_be_there() -> None:
-    # The engine answers no question either. A request that meets a model gone
-    # is turned away unrun, and that is noted; one that is not sent notes
-    # nothing, and its caller gets `no_server`.
+def test_model_is_announced_as_loaded_if_unload_outcome_is_unknown() -> None:
+    # The engine's report cannot be read either. If the model is gone, a
+    # request sent there is rejected and corrects the fleet's state. If the
+    # model wrongly counts as gone, no request is sent and callers get
+    # `no_server`.
     async def run() -> None:
-        engine, moves = FakeEngine("m0", "m2"), list[Move]()
-        dispatcher = a_swap_for_m1(engine, moves)
+        engine, changes = FakeEngine("m0", "m2"), list[Change]()
+        dispatcher = dispatcher_wanting_m1(engine, changes)
         await dispatcher.tick()
-        engine.unanswered = 3
+        engine.unanswered_left = 3
 
-        async def unread(_: str, __: str) -> None:
+        async def fail_report(_: str, __: str) -> None:
             raise ExchangeError("silent", step=Step.SEND, peer="e1", sent=True)
 
-        engine.report = unread  # type: ignore[method-assign, assignment]
+        engine.report = fail_report  # type: ignore[method-assign, assignment]
         await until(lambda: not dispatcher._swaps)
-        assert moves[-1] == ("e1", engine.orders[0].model, "", True)
+        assert changes[-1] == ("e1", engine.orders[0].model, "", True)
 
     asyncio.run(run())
 
 
-def test_a_model_whose_unload_lost_its_answer_stays_gone() -> None:
-    # The order was carried out; only its answers were lost. Told to be there
-    # again, the model would draw requests that the engine turns away.
+def test_model_stays_unloaded_if_only_the_answer_was_lost() -> None:
+    # The order was executed; only its answers were lost. If the model were
+    # announced as loaded again, it would attract requests that the engine
+    # rejects.
     async def run() -> None:
-        engine, moves = FakeEngine("m0", "m2"), list[Move]()
-        dispatcher = a_swap_for_m1(engine, moves)
-        engine.unanswered = 3
+        engine, changes = FakeEngine("m0", "m2"), list[Change]()
+        dispatcher = dispatcher_wanting_m1(engine, changes)
+        engine.unanswered_left = 3
         replies: list[OrderReply] = []
-        engine.connecting = lambda: replies.extend(map(engine.execute, engine.late))
+        engine.on_connect = lambda: replies.extend(
+            map(engine.execute, engine.unanswered_orders)
+        )
         await dispatcher.tick()
         await until(lambda: not dispatcher._swaps)
         assert replies[0] is OrderReply.ACCEPTED
-        assert moves == [("e1", engine.orders[0].model, "", False)]
+        assert changes == [("e1", engine.orders[0].model, "", False)]
 
     asyncio.run(run())
 
 
-def test_a_model_that_was_not_ordered_away_is_not_told_to_be_gone() -> None:
-    # The lease ended between the plan and the order, at its last look while
-    # the connection came about: nothing was sent. The model was told to be
-    # gone all the same, and callers got `no_server` for it.
+def test_model_is_not_announced_as_unloaded_if_no_order_was_sent() -> None:
+    # The lease ends between the plan and the order, or at the last check while
+    # connecting, so nothing is sent. If the model is announced as unloaded all
+    # the same, callers get `no_server` for it.
     async def run() -> None:
         for lost_when in ("planned", "connecting"):
-            engine, moves, holding = FakeEngine("m0", "m2"), list[Move](), [True]
-            dispatcher = a_swap_for_m1(engine, moves, may_order=lambda h=holding: h[0])
+            engine, changes, holds_lease = (
+                FakeEngine("m0", "m2"),
+                list[Change](),
+                [True],
+            )
+            dispatcher = dispatcher_wanting_m1(
+                engine, changes, may_order=lambda h=holds_lease: h[0]
+            )
             await dispatcher.tick()
             if lost_when == "planned":
-                holding[0] = False
-            engine.connecting = lambda h=holding: h.__setitem__(0, False)
+                holds_lease[0] = False
+            engine.on_connect = lambda h=holds_lease: h.__setitem__(0, False)
             await until(lambda d=dispatcher: not d._swaps)
             assert not engine.orders
-            assert not moves, lost_when
+            assert not changes, lost_when
 
     asyncio.run(run())
 
 
-class AdaptersWait(FakeEngine):
-    """Carry out orders about adapters, and answer once the gate is opened."""
+class SlowAdapterEngine(FakeEngine):
+    """Execute adapter orders, but answer only once the gate is open."""
 
     def __init__(self, *models: str) -> None:
         super().__init__(*models)
@@ -122,57 +132,60 @@
         return reply
 
 
-def swap_beside_an_adapter(
-    engine: AdaptersWait, demand: dict[str, ModelDemand], *, memory_mb: float
+def swap_during_adapter_load(
+    engine: SlowAdapterEngine, demand: dict[str, ModelDemand], *, memory_mb: float
 ) -> None:
-    """Plan a swap to a big m1 while an adapter of m0 is on its way."""
+    """Plan a swap to a large m1 while a load of an m0 adapter is in flight."""
 
     async def run() -> None:
         models = {name: a_model(name) for name in ("m0", "m2")}
         models["m1"] = a_model("m1", size_mb=70_060.0)
         spec = replace(an_engine_spec(), models=models, memory_mb=memory_mb)
-        asked: dict[str, ModelDemand] = {}
-        dispatcher = a_dispatcher(engine, ManualClock(), demand=asked, spec=spec)
-        asking = asyncio.ensure_future(
+        current_demand: dict[str, ModelDemand] = {}
+        dispatcher = a_dispatcher(
+            engine, ManualClock(), demand=current_demand, spec=spec
+        )
+        adapter_load = asyncio.ensure_future(
             dispatcher.ensure_adapter("llm", "e1", "m0", "a1")
         )
         await until(lambda: bool(engine.orders))
-        asked.update(demand)
+        current_demand.update(demand)
         await dispatcher.tick()
         assert dispatcher._swaps
-        # Long enough for what the engine turns away to be sent again.
+        # Long enough for a rejected order to be retried.
         await asyncio.sleep(0.1)
         engine.gate.set()
-        assert await asking
+        assert await adapter_load
         await until(lambda: not dispatcher._swaps)
 
     asyncio.run(run())
 
 
-def test_an_adapter_on_its_way_is_reckoned_with_before_a_victim_goes() -> None:
-    # The adapter took the room that the new model needed beside what stayed;
-    # that was seen only after the victim had gone. The engine was left with one
-    # model where two were, and callers of the victim waited for a load.
-    engine = AdaptersWait("m0", "m2")
+def test_adapter_in_flight_is_accounted_for_before_eviction() -> None:
+    # The adapter takes memory that the new model needs beside the models that
+    # stay. If that is checked only after the eviction, the engine is left with
+    # one model of two, and callers of the evicted model wait for a load.
+    engine = SlowAdapterEngine("m0", "m2")
     demand = {"m0": ModelDemand(0.5, 0), "m1": ModelDemand(0.0, 30)}
-    swap_beside_an_adapter(engine, demand, memory_mb=140_070.0)
+    swap_during_adapter_load(engine, demand, memory_mb=140_070.0)
     assert set(engine.models) == {"m0", "m2"}
     assert [order.adapter for order in engine.orders] == ["a1"]
 
 
-def test_an_adapter_on_its_way_is_reckoned_with_before_a_load() -> None:
-    # No victim is needed, yet beside the adapter the model does not fit. Turned
-    # away for the adapter's order before it, the load was sent again and taken;
-    # an engine that is ordered to hold more than it can crashes.
-    engine = AdaptersWait("m0")
+def test_adapter_in_flight_is_accounted_for_before_load() -> None:
+    # No eviction is needed, but the model does not fit beside the adapter. The
+    # load, rejected at first because of the adapter's order, must not be
+    # retried until accepted: an engine crashes if ordered to exceed its
+    # memory.
+    engine = SlowAdapterEngine("m0")
     demand = {"m0": ModelDemand(0.5, 0), "m1": ModelDemand(0.0, 30)}
-    swap_beside_an_adapter(engine, demand, memory_mb=140_070.0)
+    swap_during_adapter_load(engine, demand, memory_mb=140_070.0)
     assert set(engine.models) == {"m0"}
 
 
-def test_an_adapter_of_the_victim_does_not_keep_it_there() -> None:
-    # The adapter that lands meanwhile goes with its model.
-    engine = AdaptersWait("m0", "m2")
+def test_adapter_of_evicted_model_does_not_prevent_eviction() -> None:
+    # An adapter loaded meanwhile is unloaded together with its model.
+    engine = SlowAdapterEngine("m0", "m2")
     demand = {"m2": ModelDemand(0.5, 0), "m1": ModelDemand(0.0, 30)}
-    swap_beside_an_adapter(engine, demand, memory_mb=140_070.0)
+    swap_during_adapter_load(engine, demand, memory_mb=140_070.0)
     assert set(engine.models) == {"m1", "m2"}
