--- a/src/rosepath/clock.py
+++ b/src/rosepath/clock.py
@@ -13,7 +13,7 @@
 
 
 class SystemClock:
-    """Read the clocks of the machine."""
+    """Read the system's monotonic and wall clocks."""
 
     def monotonic_s(self) -> float:
         return time.monotonic()
@@ -23,10 +23,10 @@
 
 
 class BootClock(SystemClock):
-    """Count the time that the machine was suspended, too.
+    """Also count the time for which the machine is suspended.
 
-    A lease goes on lapsing while its holder is suspended; on a clock that
-    stands still meanwhile, the holder would wake and trust it.
+    A lease expires while its holder is suspended. By a clock that stops meanwhile,
+    the holder would resume and still consider its lease valid.
     """
 
     def monotonic_s(self) -> float:
@@ -34,7 +34,7 @@
 
 
 class ManualClock:
-    """Hold a time that moves only when told."""
+    """Provide a time that only `advance` changes, for tests."""
 
     def __init__(self, *, start_s: float = 1000.0) -> None:
         self.now_s = start_s
--- a/src/rosepath/feed.py
+++ b/src/rosepath/feed.py
@@ -55,12 +55,13 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class Pace:
-    """Say how long a watch waits, and how long changes are gathered.
+    """Hold the timing of watches.
 
-    `backoff_max_s` bounds the pauses between tries while the store fails. With
-    `relaxed`, watches may be told of changes late, and prove no age of a table. For
-    `copies_s` most VMs wait for a copy of what another VM has before they ask the
-    store for it.
+    A watch waits up to `wait_s`; changes are batched for `gather_s`.
+    `backoff_max_s` bounds the pauses between attempts while the store fails. The
+    store may deliver changes late to `relaxed` watches, so they do not confirm how
+    current a table is. Most VMs wait `copy_wait_s` for another VM's copy of an
+    object before they request it from the store.
     """
 
     wait_s: float = 2.0
--- a/src/rosepath/late_calls.py
+++ b/src/rosepath/late_calls.py
@@ -1,7 +1,7 @@
-"""Calls that are late: left to run beside a further one, the first answer wins.
+"""Hedged calls: a slow call continues beside further ones; the first response wins.
 
-A call that is ended because its answer takes long begins again at the first byte;
-where each answer takes longer than the limit, none is ever read.
+A call that is cancelled because it is slow begins again at the first byte. Where
+every response takes longer than the limit, none would ever be read.
 """
 
 import asyncio
@@ -10,7 +10,7 @@
 from typing import TypeVar
 
 T = TypeVar("T")
-# Called when an answer begins to arrive.
+# Called when the first byte of a response arrives.
 OnBegun = Callable[[], None]
 
 
@@ -22,11 +22,12 @@
     max_concurrent: int,
     on_slow: Callable[[], None] = lambda: None,
 ) -> T:
-    """Return the first answer; make further calls while none has begun to arrive.
+    """Return the first response; add calls while none has begun to arrive.
 
-    The first call is late after `late_after_s`, each further one after
-    `again_after_s`; no more than `at_once` run at a time. Each is passed what to call
-    when its answer begins. Raises what the last of them raised once none is left.
+    The first call is slow after `slow_after_s`; further calls follow at intervals of
+    `hedge_interval_s`, with at most `max_concurrent` running. Each call is passed a
+    callback for the first byte of its response. Raise the exception of the last
+    running call if all fail.
     """
     running: dict[asyncio.Future[T], int] = {}
     arriving: set[int] = set()
--- a/src/rosepath/object_store.py
+++ b/src/rosepath/object_store.py
@@ -1,4 +1,4 @@
-"""The port to the object store: objects with versions, watches, and the VM list."""
+"""Interfaces to the object store: versioned objects, watches and the VM list."""
 
 from collections.abc import AsyncIterator, Mapping
 from dataclasses import dataclass
@@ -10,7 +10,7 @@
 
 
 class StoredObject(NamedTuple):
-    """Hold a value of the object API with the version it was read at."""
+    """Hold a stored value with the version at which it was read."""
 
     name: str
     version: int
@@ -18,14 +18,14 @@
 
 
 class ObjectEvent(NamedTuple):
-    """Report that an object changed, or (no name) that the watch is alive."""
+    """Report a changed object, or with an empty name that the watch is alive."""
 
     name: str
     version: int
 
 
 class VmState(StrEnum):
-    """Tell whether the platform means a VM to go on."""
+    """Tell whether the platform keeps a VM running."""
 
     LIVE = "live"
     LEAVING = "leaving"
@@ -41,7 +41,7 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class Change:
-    """Hold what changed in a kind up to one revision of the store."""
+    """Hold the changes of a kind up to one revision of the store."""
 
     revision: int
     written: Mapping[str, StoredObject]
@@ -49,11 +49,11 @@
 
 
 class ConflictError(RosepathError):
-    """A conditional update met another version than it named."""
+    """A conditional update found another version than it expected."""
 
 
 class HistoryGoneError(RosepathError):
-    """The changes after a revision are no longer kept; read the whole again."""
+    """The store no longer keeps the changes after a revision; list again."""
 
 
 class StoreError(RosepathError):
@@ -63,14 +63,14 @@
 
 
 def tell_nobody() -> None:
-    """Ignore that an answer begins to arrive."""
+    """Ignore the first byte of a response."""
 
 
 class ListWatchPort(Protocol):
-    """Read a kind of objects whole, then wait for what changes.
+    """List one kind of objects and watch it for changes.
 
-    `on_begun` is called when an answer begins to arrive, `fresh` asks over a new
-    connection.
+    `on_begun` is called when the first byte of a response arrives. `fresh` requests
+    a new connection.
     """
 
     async def list(
@@ -93,7 +93,7 @@
 
 
 class ObjectsPort(Protocol):
-    """Read and write objects; every call either answers in time or raises."""
+    """Read and write objects; every call returns within its time limit or raises."""
 
     async def get(self, name: str) -> StoredObject | None: ...
 
@@ -107,7 +107,7 @@
 
 
 class PlatformPort(ObjectsPort, Protocol):
-    """Reach all of the platform that a daemon needs."""
+    """Provide the parts of the platform that a daemon uses."""
 
     async def list_names(self, prefix: str) -> list[str]: ...
 
--- a/src/rosepath/paced_call.py
+++ b/src/rosepath/paced_call.py
@@ -1,14 +1,15 @@
-"""A call that is made at once after a pause, and once for all that follow soon."""
+"""Throttle a call: run it at once, then at most once per interval."""
 
 import asyncio
 from collections.abc import Callable
 
 
 class PacedCall:
-    """Make a call when asked to, but no two within an interval.
+    """Make a call on request, at most once per interval.
 
-    The first one after a pause is made at once; what is asked for during the
-    interval after a call is one more call at its end. An interval of 0 paces nothing.
+    A request outside an interval is served at once. All requests within the interval
+    after a call are served by one call at its end. An interval of 0 disables the
+    throttling.
     """
 
     def __init__(
--- a/src/rosepath/store_pace.py
+++ b/src/rosepath/store_pace.py
@@ -1,16 +1,16 @@
-"""How closely an entry VM follows the store: what the holder tells spares calls.
+"""Policies for how closely an entry VM watches the store.
 
-Each answer to a watch is a call that costs, and servers' entries change several
-times a second. The lease's holder follows them closely and tells all others
-which servers leave and what engines hold; as long as its word says that its own
-table is fresh, they look for the rest now and then. Without it each looks for
-itself.
+Each response to a watch is a billed call, and servers' entries change several times
+a second. The holder of the placement lease watches them closely and sends all other
+entry VMs which servers leave and which models the engines have loaded. While its
+messages confirm that its own table is current, the others read the rest
+infrequently. Without them, each entry VM watches the store itself.
 
-Who is told may watch with relaxed calls, at a tenth of the price: their answers
-may be seconds old, but what they are trusted for is covered by the word.
+VMs covered by these messages may use relaxed watches, at a tenth of the price. Their
+responses may be seconds old, but the messages cover the changes that are urgent.
 
-All times here are shares of one: how soon a change must be acted on. What a VM
-goes by is never older than that, less the time for a look of its own.
+All times are parts of one limit: how soon a change must be acted on. No table in use
+is older than that limit, less the time for a store read of the VM's own.
 """
 
 import math
@@ -18,40 +18,42 @@
 
 from rosepath.feed import Pace
 
-# A look at the store takes a few milliseconds, one that fails half a second;
-# when one is due is found out within a quarter.
+# A store read takes a few milliseconds, a failed one half a second; that one is due
+# is detected within a quarter of a second.
 READ_TIME_S = 0.8
-# A burst of changes is taken together. A VM that is told of changes gathers for
-# longer: what it is not told of are new servers, mostly.
+# Bursts of changes are batched. A VM that the lease holder's messages cover batches
+# for longer, as mostly new servers are missing from those messages.
 GATHER_S = 0.25
 GATHER_CROWDED_SHARE = 0.25
 GATHER_COVERED_S = 3.0
 GATHER_COVERED_CROWDED_S = 8.0
-# A watch that hears nothing proves nothing until it ends. The holder's word is
-# as old as its wait and the interval of words, and must stay young enough for
-# the others when one word is lost.
+# A watch without changes confirms nothing until it ends. The table that the lease
+# holder's messages cover is as old as its wait plus the message interval, and must
+# stay recent enough when one message is lost.
 WAIT_SHARE = 0.4
-# Of two words in a row the others may miss one; where words are rare and the
-# bound is short, waits are never shorter than this share of it.
+# One of two consecutive messages may be lost. Where messages are infrequent and the
+# limit is short, waits are never below this share of the limit.
 MESSAGE_INTERVALS = 2
 WAIT_MIN_SHARE = 0.1
-# Where others tell what they know, a silent one is found by that. The store
-# keeps 20 s of history, and a watch begins up to 8 s after the last.
+# A VM covered by messages detects a dead watch by them. The store keeps 20 s of
+# history, and a watch begins up to 8 s after the previous one.
 COVERED_WAIT_S = 10.0
-# A configuration may be large. Read by a whole crowd at once it fills the store's
-# link and, on slow ones, keeps callers' streams waiting; copies are compressed.
+# A configuration may be large. Read by many VMs at once, it saturates the store's
+# link and delays callers' streams on slow links; copies are compressed.
 COPY_WAIT_CROWDED_S = 1.0
-# While the store fails, others say when it is back or has news.
+# While the store fails, covered VMs learn from messages of its recovery or changes.
 BACKOFF_UNCOVERED_S = 0.5
 BACKOFF_COVERED_S = 2.0
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class Following:
-    """Say on what grounds a VM chooses its pace.
+    """Hold the conditions from which an entry VM chooses its watch policy.
 
-    `told_age_s` is the age of what the holder's word vouches for, `bound_s` how
-    soon a change must be acted on, `words_every_s` how often this VM speaks.
+    `told_age_s` is the age of the table that the lease holder's messages cover,
+    `bound_s` how soon a change must be acted on, `words_every_s` the interval of
+    this VM's own messages (0 if it does not hold the lease), `crowded` whether it is
+    one of many VMs that do not hold it.
     """
 
     bound_s: float
@@ -61,21 +63,21 @@
 
     @property
     def covered(self) -> bool:
-        """Tell whether the holder's word may stand for a look at the store."""
+        """Return whether the lease holder's messages replace own store reads."""
         return self.told_age_s < self.bound_s - READ_TIME_S
 
     @property
     def wait_s(self) -> float:
-        """Return how long a watch may wait that nobody's word stands in for."""
-        words_s = MESSAGE_INTERVALS * self.words_every_s
-        young_s = max(
+        """Return how long a watch may wait that no messages replace."""
+        messages_s = MESSAGE_INTERVALS * self.words_every_s
+        recent_s = max(
             self.bound_s * WAIT_MIN_SHARE, self.bound_s - READ_TIME_S - words_s
         )
-        return min(WAIT_SHARE * self.bound_s, young_s)
+        return min(WAIT_SHARE * self.bound_s, recent_s)
 
 
 def servers_pace(following: Following) -> Pace:
-    """Return how a VM follows the servers' entries."""
+    """Return the policy for watching the servers' entries."""
     if following.covered:
         crowded = following.crowded
         return Pace(
@@ -98,7 +100,7 @@
 
 
 def catalog_pace(following: Following) -> Pace:
-    """Return how a VM follows the configuration, which changes seldom."""
+    """Return the policy for watching the configuration, which seldom changes."""
     covered, crowded = following.covered, following.crowded
     return Pace(
         wait_s=COVERED_WAIT_S if covered else following.wait_s,
--- a/src/rosepath/store_session.py
+++ b/src/rosepath/store_session.py
@@ -1,4 +1,4 @@
-"""A daemon's use of the object store: a budget of calls, watches that go on."""
+"""Access the object store from a daemon, with a call budget and endless watches."""
 
 import asyncio
 import json
@@ -26,11 +26,11 @@
 
 
 class StoreSession:
-    """Call the store within a local budget; implement the platform port."""
+    """Call the store within a local rate limit; implement `PlatformPort`."""
 
     def __init__(self, settings: PlatformSettings, *, clock: Clock) -> None:
-        # A watch that waits for half of the silence bound, and a call's time
-        # more, is found dead no later than the bound.
+        # A watch waits for half of the silence limit and its call times out within
+        # the other half, so a dead watch is detected within the limit.
         self._wait_s = settings.watch_silence_s / 2
         limit_s = min(settings.call_timeout_s, settings.watch_silence_s / 2)
         access = StoreAccess(
@@ -49,7 +49,7 @@
 
     @property
     def reachable(self) -> bool:
-        """Tell whether a call succeeded within the silence bound."""
+        """Return whether a call succeeded within the silence limit."""
         age_s = self._clock.monotonic_s() - self._store.last_success_s
         return age_s < self._silence_s
 
@@ -83,10 +83,10 @@
         }
 
     async def watch(self, prefix: str) -> AsyncIterator[ObjectEvent]:
-        """Yield changes for ever, beginning anew after failures.
+        """Yield changes until cancelled, and restart the watch after failures.
 
-        Each beginning yields a nameless event, so that the reader reads the
-        present state and misses nothing that happened between.
+        Each start yields an event with an empty name. The consumer then reads the
+        current state and so misses no change between two watches.
         """
         kind = prefix.partition("/")[0]
         backoff_s = INITIAL_BACKOFF_S
--- a/src/rosepath/table_age.py
+++ b/src/rosepath/table_age.py
@@ -1,17 +1,18 @@
-"""As of when a table is known: by own looks at the store, or by another's word."""
+"""Track how current a table is, from store reads and the lease holder's messages."""
 
 from rosepath.clock import Clock
 
 NEVER_S = -1e9
-# A machine that was suspended for longer finds words that queued meanwhile;
-# clocks drift apart by far less.
+# Messages may have queued while the machine was suspended for longer than this. The
+# drift between the two clocks is far smaller.
 SUSPENSION_TOLERANCE_S = 0.1
 
 
 class TableAge:
-    """Hold the latest moment up to which every change of a table is known.
+    """Hold the latest time up to which every change of a table is known.
 
-    Counted on the boot clock: a table grows old while its machine is suspended.
+    It is measured on the boot clock, so a table also ages while its machine is
+    suspended.
     """
 
     def __init__(self, *, clock: Clock, boot_clock: Clock) -> None:
@@ -22,36 +23,36 @@
         self._told_s = NEVER_S
 
     def now_s(self) -> float:
-        """Return the time by which looks are noted."""
+        """Return the time on the clock that the age is measured by."""
         return self._boot.monotonic_s()
 
     @property
     def known_s(self) -> float:
-        """Return as of when the table is known."""
+        """Return the time up to which all changes are known."""
         return max(self.last_read_s, self._told_s)
 
     @property
     def age_s(self) -> float:
-        """Return for how long changes may have gone unnoticed."""
+        """Return the time for which changes may have been missed."""
         return self.now_s() - self.known_s
 
     @property
     def told_age_s(self) -> float:
-        """Return the same by others' word alone."""
+        """Return the age by the lease holder's messages alone."""
         return self.now_s() - self._told_s
 
     def note_look(self, known_s: float) -> None:
-        """Note an answered look: the store told all that was true by then."""
+        """Note a store read that returned every change up to `known_s`."""
         self.last_read_s = max(self.last_read_s, known_s)
 
     def hear(self, *, known_ago_s: float, complete_ago_s: float) -> None:
-        """Take another's word for what changed between two moments.
+        """Apply a message that covers all changes between two times.
 
-        It helps only who knows all that changed before the first of them.
+        It applies only if all changes before the first of them are known already.
         """
         now_s = self.now_s()
         if self._suspension_s() > self._suspended_s + SUSPENSION_TOLERANCE_S:
-            # Words that queued in a sleep are older than they look.
+            # Messages that queued during a suspension are older than they appear.
             self._suspended_s = self._suspension_s()
             self.last_read_s = self._told_s = NEVER_S
         if self.known_s > now_s - complete_ago_s:
