--- a/src/rosepath/store_pace.py
+++ b/src/rosepath/store_pace.py
@@ -71,7 +71,7 @@
         """Return how long a watch may wait that no messages replace."""
         messages_s = MESSAGE_INTERVALS * self.words_every_s
         recent_s = max(
-            self.bound_s * WAIT_MIN_SHARE, self.bound_s - READ_TIME_S - words_s
+            self.bound_s * WAIT_MIN_SHARE, self.bound_s - READ_TIME_S - messages_s
         )
         return min(WAIT_SHARE * self.bound_s, recent_s)
 
