--- a/tests/test_feed.py
+++ b/tests/test_feed.py
@@ -1,4 +1,4 @@
-"""A table kept in step with the store, whatever the store does."""
+"""Tests of listing and watching one kind of stored objects."""
 
 import asyncio
 from collections.abc import Awaitable, Callable, Sequence
@@ -21,7 +21,7 @@
 
 
 class ScriptedStore:
-    """Answer lists and watches from a script; then wait for ever."""
+    """Answer lists and watches from a script, then block."""
 
     def __init__(self, listings: list[Listing], watches: list[object]) -> None:
         self.listings = listings
@@ -67,7 +67,7 @@
 
 
 def follow(store: ScriptedStore, done: Callable[[list[str]], bool]) -> list[str]:
-    """Follow until what was seen is enough; return it."""
+    """Run a feed until `done`; return the listings and removals it applied."""
     seen: list[str] = []
 
     async def run() -> None:
@@ -88,9 +88,9 @@
     return seen
 
 
-def test_a_store_that_was_away_is_read_whole_once() -> None:
-    # What changed since can't be asked for: its history may be gone. One call
-    # reads the whole, and the watch goes on from there.
+def test_one_listing_follows_a_store_failure() -> None:
+    # The store may have dropped the history of an outage, so a watch can not resume.
+    # One call lists all objects, and the next watch starts at its revision.
     gone = Change(revision=9, written={}, removed=frozenset({"servers/b"}))
     store = ScriptedStore(
         [listing(5, "servers/a"), listing(7, "servers/b")],
@@ -102,8 +102,8 @@
     assert store.listings == []
 
 
-def test_lost_history_is_made_good_by_reading_the_whole() -> None:
-    # A server left while the history was dropped: no watch tells of it.
+def test_a_listing_follows_lost_history() -> None:
+    # A server left in the dropped part of the history, so no watch returns it.
     store = ScriptedStore(
         [listing(5, "servers/a", "servers/b"), listing(12, "servers/b")],
         [HistoryGoneError("servers", step=Step.STORE)],
@@ -112,7 +112,7 @@
     assert seen == ["listed servers/a,servers/b", "listed servers/b"]
 
 
-def test_a_listing_older_than_what_is_known_is_not_taken() -> None:
+def test_a_listing_older_than_the_known_revision_is_ignored() -> None:
     store = ScriptedStore(
         [listing(8, "servers/a"), listing(3), listing(9, "servers/a")],
         [
@@ -124,13 +124,11 @@
     assert seen == ["listed servers/a", "listed servers/a"]
 
 
-def test_what_changed_in_a_break_is_known_right_after_it() -> None:
-    # The operator's change is accepted while watches hear nothing; then all are
-    # cut, and the history is dropped. A watch that goes on from its old revision
-    # is held by the store until the next change, and told only then that its
-    # history is gone: the change was in force 5.7 s after it was accepted, where
-    # 2 s are allowed. Proved by the lines of a day: store_lost at 26.2 s, the
-    # watch resumed from the revision before, configuration_in_force at 30.8 s.
+def test_changes_during_an_interruption_are_read_right_after_it() -> None:
+    # The connections of all watches break while the operator changes the
+    # configuration, and the history is dropped. The store holds a watch that resumes
+    # from the old revision until the next change, and only then reports the lost
+    # history: the change took effect after 5.7 s, where 2 s are allowed.
     store = ScriptedStore(
         [listing(5, "config/main"), listing(9, "config/main", "config/next")],
         [StoreError("answer closed early", step=Step.STORE)],
@@ -140,10 +138,10 @@
     assert store.asked_after[-1] == 9
 
 
-def test_news_that_others_know_ends_the_pause_after_a_failure() -> None:
-    # The store turned this VM away and its pauses have grown. A configuration
-    # came meanwhile, and the others answer by it: requests here must not go by
-    # the old one until the pause is over.
+def test_a_newer_revision_on_a_peer_ends_the_pause_after_a_failure() -> None:
+    # The store rejects this VM, and its pauses have grown. Meanwhile the other VMs
+    # apply a new configuration. Requests here must not use the old one until the
+    # pause ends.
     async def run() -> None:
         whole = listing(9, "config/main")
         store = ScriptedStore([whole], [])
@@ -178,9 +176,9 @@
     asyncio.run(run())
 
 
-def test_a_request_that_needs_a_look_breaks_off_a_long_wait() -> None:
-    # A VM wakes from a sleep and finds its table too old to send by, while its
-    # watch may wait for another ten seconds.
+def test_a_refresh_cancels_a_long_watch() -> None:
+    # A VM resumes from suspension with a table that is too old to route by, while its
+    # watch may wait for ten more seconds.
     async def run() -> None:
         clock = ManualClock()
         whole = listing(5, "servers/a")
@@ -211,10 +209,10 @@
     asyncio.run(run())
 
 
-def test_a_relaxed_watch_proves_no_age_and_is_left_for_news() -> None:
-    # A relaxed answer may be seconds old: taken for a look, it would let requests
-    # go to servers that left meanwhile. And of a change that another VM tells of,
-    # only a full watch brings word in time.
+def test_a_relaxed_watch_confirms_no_age_and_yields_to_a_newer_revision() -> None:
+    # The response to a relaxed watch may be seconds old. If it counted as a store
+    # read, requests would go to servers that left meanwhile. Only a full watch
+    # returns in time a change that another VM already has.
     async def run() -> None:
         clock = ManualClock()
         store = ScriptedStore([listing(5, "servers/a")], [])
@@ -247,7 +245,7 @@
     asyncio.run(run())
 
 
-def test_a_look_that_requests_wait_for_is_never_relaxed() -> None:
+def test_a_refresh_never_uses_a_relaxed_watch() -> None:
     async def run() -> None:
         clock = ManualClock()
         store = ScriptedStore([listing(5, "servers/a")], [])
@@ -277,9 +275,9 @@
     asyncio.run(run())
 
 
-def test_one_failed_call_is_no_outage_of_the_moment_in_which_it_was_asked() -> None:
-    # Its connection may have gone silent long before, while it was idle. Only
-    # the next call, over a new connection, says that the store fails just then.
+def test_a_single_failed_call_is_no_store_outage() -> None:
+    # Its connection may have died long before, while idle. Only the next call, over a
+    # new connection, shows that the store fails at that time.
     async def run() -> None:
         clock = ManualClock()
         store = ScriptedStore([], [])
@@ -296,7 +294,7 @@
 
 
 class FailingStore:
-    """Fail each read after a while, and note when it was asked."""
+    """Fail each read after `takes_s`, and record when it was requested."""
 
     def __init__(self, *, takes_s: float) -> None:
         self._takes_s = takes_s
@@ -319,26 +317,26 @@
         raise AssertionError("nothing was listed yet")
 
     def backed_off(self) -> bool:
-        """Tell whether the pauses between calls have grown to their longest."""
+        """Return whether the pauses between calls have grown to their maximum."""
         return any(gap_s > BACKED_OFF_S for gap_s in self.gaps_s())
 
     def gaps_s(self) -> Sequence[float]:
-        """Return the times from each call to the next."""
+        """Return the intervals between calls."""
         return [later - sooner for sooner, later in pairwise(self.asked_s)]
 
 
-LONGEST_S = 60.0
-BACKED_OFF_S = 0.6 * LONGEST_S
-# A VM that knows that it is behind asks again at least this often, beside what
-# the call itself takes: the store may be back for it at any moment.
-SEEK_S = 1.0
+MAX_PAUSE_S = 60.0
+BACKED_OFF_S = 0.6 * MAX_PAUSE_S
+# Longest interval between calls, besides their own duration, while a VM is known to be
+# behind: the store may recover at any time.
+RETRY_INTERVAL_S = 1.0
 TAKES_S = 0.3
 
 
-def seek(
+def run_after_backoff(
     course: Callable[[Feed], Awaitable[None]],
 ) -> FailingStore:
-    """Let a feed's pauses grow, then play a course; return what it asked in it."""
+    """Let the pauses of a feed grow, then run `course`; return the store's record."""
     store = FailingStore(takes_s=TAKES_S)
 
     async def run() -> None:
@@ -348,13 +346,13 @@
             clock=LoopClock(),
             on_listing=lambda _: None,
             on_change=lambda _: None,
-            pace=lambda: Pace(backoff_max_s=LONGEST_S),
+            pace=lambda: Pace(backoff_max_s=MAX_PAUSE_S),
             urgent=True,
         )
         following = asyncio.ensure_future(feed.run())
         while not store.backed_off():  # noqa: ASYNC110
             await asyncio.sleep(0.01)
-        # The call that was just begun is under way.
+        # Keep the call that has just begun.
         del store.asked_s[:-1]
         await course(feed)
         following.cancel()
@@ -363,39 +361,39 @@
     return store
 
 
-def test_news_heard_while_a_call_fails_ends_the_pause_after_it() -> None:
-    # The word comes while this VM's own call is under way. When that fails, the
-    # word must not be forgotten: it is told again, but never as news.
+def test_a_revision_announced_during_a_failing_call_shortens_the_next_pause() -> None:
+    # Another VM announces a revision during a call of this VM. It must not be dropped
+    # when the call fails: later messages repeat it, but not as a new revision.
     async def course(feed: Feed) -> None:
         await asyncio.sleep(TAKES_S / 3)
         feed.hear(9)
-        await asyncio.sleep(LONGEST_S)
+        await asyncio.sleep(MAX_PAUSE_S)
 
-    assert seek(course).gaps_s()[0] <= TAKES_S + SEEK_S
+    assert run_after_backoff(course).gaps_s()[0] <= TAKES_S + RETRY_INTERVAL_S
 
 
-def test_news_is_sought_for_as_long_as_it_is_known() -> None:
-    # A look that fails proves nothing about what others know: until the table
-    # has it, the pauses must not grow to their longest again.
+def test_pauses_stay_short_while_a_peer_has_a_newer_revision() -> None:
+    # A failed read does not show what other VMs have. Until the table has the
+    # revision, the pauses must not grow to their maximum again.
     async def course(feed: Feed) -> None:
         await asyncio.sleep(2 * TAKES_S)
         feed.hear(9)
         for _ in range(100):
-            # Others go on telling what they know.
+            # Other VMs repeat the revision in each message.
             await asyncio.sleep(0.2)
             feed.hear(9)
 
-    store = seek(course)
-    assert len(store.asked_s) >= 20 / (TAKES_S + SEEK_S)
-    assert max(store.gaps_s()) <= TAKES_S + SEEK_S
+    store = run_after_backoff(course)
+    assert len(store.asked_s) >= 20 / (TAKES_S + RETRY_INTERVAL_S)
+    assert max(store.gaps_s()) <= TAKES_S + RETRY_INTERVAL_S
 
 
-def test_without_news_the_pauses_stay_long() -> None:
-    # A store that fails is not asked at short intervals for nothing, and a word
-    # that tells nothing new is no news.
+def test_pauses_stay_long_without_a_newer_revision() -> None:
+    # A failing store is not called at short intervals without a reason, and a message
+    # without a newer revision is none.
     async def course(feed: Feed) -> None:
         for _ in range(5 * 60):
             await asyncio.sleep(0.2)
             feed.hear(0)
 
-    assert len(seek(course).asked_s) <= 3
+    assert len(run_after_backoff(course).asked_s) <= 3
--- a/tests/test_late_calls.py
+++ b/tests/test_late_calls.py
@@ -1,4 +1,4 @@
-"""Calls that are late are left to run beside a further one."""
+"""Tests of hedged calls: slow calls continue beside further ones."""
 
 import asyncio
 from collections.abc import Awaitable, Callable
@@ -9,22 +9,23 @@
 
 from rosepath.late_calls import OnBegun, first_response
 
-LATE_AFTER_S = 0.5
-AGAIN_AFTER_S = 1.0
+SLOW_AFTER_S = 0.5
+HEDGE_INTERVAL_S = 1.0
 T = TypeVar("T")
 
 
 async def ask(call: Callable[[OnBegun], Awaitable[T]], *, max_concurrent: int = 2) -> T:
     return await first_response(
         call,
-        slow_after_s=LATE_AFTER_S,
-        hedge_interval_s=AGAIN_AFTER_S,
+        slow_after_s=SLOW_AFTER_S,
+        hedge_interval_s=HEDGE_INTERVAL_S,
         max_concurrent=max_concurrent,
     )
 
 
-def test_an_answer_that_always_takes_longer_than_the_limit_is_still_taken() -> None:
-    # Each call ended at the limit: nothing was ever read from a slow store.
+def test_a_response_slower_than_the_limit_is_still_used() -> None:
+    # When each call was cancelled at the limit, nothing was ever read from a slow
+    # store.
     async def run() -> None:
         late: list[float] = []
 
@@ -36,21 +37,20 @@
         begun_s = loop.time()
         answer = await first_response(
             call,
-            slow_after_s=LATE_AFTER_S,
-            hedge_interval_s=AGAIN_AFTER_S,
+            slow_after_s=SLOW_AFTER_S,
+            hedge_interval_s=HEDGE_INTERVAL_S,
             max_concurrent=2,
             on_slow=lambda: late.append(loop.time() - begun_s),
         )
         assert answer == "answer"
         assert loop.time() - begun_s == pytest.approx(0.7)
-        assert late == [pytest.approx(LATE_AFTER_S)]
+        assert late == [pytest.approx(SLOW_AFTER_S)]
 
     play(run)
 
 
-def test_a_silent_connection_does_not_hold_up_the_answer_over_another() -> None:
-    # A connection that died unnoticed answers nothing: waited for alone, it
-    # hides a store that is well.
+def test_a_dead_connection_does_not_delay_the_response_over_another() -> None:
+    # Without a second call, a connection that died unnoticed hides a healthy store.
     async def run() -> None:
         calls: list[int] = []
 
@@ -63,12 +63,12 @@
         begun_s = asyncio.get_running_loop().time()
         assert await ask(call) == 1
         took_s = asyncio.get_running_loop().time() - begun_s
-        assert took_s == pytest.approx(LATE_AFTER_S)
+        assert took_s == pytest.approx(SLOW_AFTER_S)
 
     play(run)
 
 
-def test_an_answer_that_arrives_is_not_asked_for_a_second_time() -> None:
+def test_no_further_call_is_made_while_a_response_arrives() -> None:
     # A second copy over the same slow link would delay both.
     async def run() -> None:
         calls: list[int] = []
@@ -76,7 +76,7 @@
         async def call(on_begun: OnBegun) -> str:
             calls.append(1)
             on_begun()
-            await asyncio.sleep(4 * LATE_AFTER_S)
+            await asyncio.sleep(4 * SLOW_AFTER_S)
             return "large answer"
 
         assert await ask(call)
@@ -85,9 +85,9 @@
     play(run)
 
 
-def test_a_call_that_fails_leaves_the_other_to_answer() -> None:
-    # The failure of a further call would otherwise end the first one, which is
-    # about to be answered.
+def test_a_failed_call_does_not_cancel_the_other() -> None:
+    # The failure of a further call would otherwise end the first one, whose response
+    # is about to arrive.
     async def run() -> None:
         made: list[int] = []
 
@@ -104,8 +104,8 @@
 
 
 def test_the_failure_of_the_last_call_is_raised() -> None:
-    # A store that refuses is to be known at once: swallowed, its refusal would
-    # look like a wait.
+    # A store that rejects calls must be detected at once. If the exception were
+    # suppressed, the rejection would look like a wait.
     async def run() -> None:
         async def call(_: OnBegun) -> str:
             raise ConnectionError
@@ -116,8 +116,8 @@
     play(run)
 
 
-def test_a_silent_store_is_asked_again_for_as_long_as_it_is_silent() -> None:
-    # Whether it is back is found out by the next call alone.
+def test_a_silent_store_is_called_until_it_responds() -> None:
+    # Only the next call detects that the store has recovered.
     async def run() -> None:
         loop = asyncio.get_running_loop()
         begun_s = loop.time()
@@ -131,15 +131,15 @@
             return "back"
 
         assert await ask(call, max_concurrent=4) == "back"
-        assert loop.time() - begun_s <= 10.0 + AGAIN_AFTER_S + 0.01
+        assert loop.time() - begun_s <= 10.0 + HEDGE_INTERVAL_S + 0.01
         assert len(made_s) <= 12
 
     play(run)
 
 
-def test_an_answer_that_stops_halfway_does_not_end_the_asking() -> None:
-    # No further call is made while an answer arrives. If it stops, calls go
-    # on, or the silent one would be all that is left.
+def test_further_calls_follow_a_response_that_fails_midway() -> None:
+    # No further call is made while a response arrives. If it fails, calls must
+    # continue, or only the silent one would be left.
     async def run() -> None:
         made: list[int] = []
 
@@ -159,9 +159,9 @@
     play(run)
 
 
-def test_a_store_that_refuses_is_not_asked_at_once_again_beside_a_silent_call() -> None:
-    # A refusal takes no time: followed at once by the next call, it would
-    # become a loop without a pause.
+def test_rejected_calls_are_paced_beside_a_silent_call() -> None:
+    # A rejection is immediate. Followed at once by the next call, it would become a
+    # busy loop.
     async def run() -> None:
         made: list[int] = []
 
--- a/tests/test_leaves_untold.py
+++ b/tests/test_leaves_untold.py
@@ -1,4 +1,4 @@
-"""No server that left is used because a VM vouches for what it never learned."""
+"""Tests that no VM reports departures as complete that it never recorded."""
 
 import asyncio
 
@@ -13,11 +13,12 @@
 
 @entries
 @sizes
-def test_a_server_leaves_while_the_holder_starts_again(
+def test_a_server_leaves_while_the_lease_holder_restarts(
     monkeypatch: pytest.MonkeyPatch, size: Size, busy: bool
 ) -> None:
-    # Guards against a holder that vouches for leaves from before its own start:
-    # its first list lacks the server, so that it names no leave to the others.
+    # A restarted lease holder must not report its departures as complete for the time
+    # before its start: its first listing already lacks the server, so it never
+    # reports that departure to the other VMs.
     async def course(world: World) -> None:
         holder = world.holder
         for number in range(3):
@@ -35,13 +36,13 @@
 
 @entries
 @sizes
-def test_a_server_leaves_as_the_store_cuts_all_watches(
+def test_a_server_leaves_as_the_store_closes_all_watches(
     monkeypatch: pytest.MonkeyPatch, size: Size, busy: bool
 ) -> None:
-    # Guards against a single watch that was cut counting as an outage: a server
-    # that the list right after it lacks was kept as one whose entry had lapsed.
+    # A single closed watch must not count as an outage: a server missing from the
+    # listing right after it was kept as if its entry had expired.
     async def course(world: World) -> None:
-        # At other times since the last look each time.
+        # Vary the time since the last store read.
         for number in range(10):
             world.cut_watches()
             world.leave(f"i-{number}")
@@ -50,9 +51,9 @@
     assert latest(monkeypatch, size, course, servers=14, busy=busy) == []
 
 
-def test_a_log_that_has_just_begun_reaches_back_to_nothing() -> None:
-    # Guards against a VM that started a moment ago and says that its leaves are
-    # all of the last seconds.
+def test_a_new_departure_log_covers_no_time_before_its_start() -> None:
+    # A VM that has just started must not report its departures as complete for the
+    # last seconds.
     clock = ManualClock()
     clock.advance(100.0)
     _, complete_ago_s = DepartureLog(clock=clock).told()
--- a/tests/test_reads_left_to_arrive.py
+++ b/tests/test_reads_left_to_arrive.py
@@ -1,4 +1,4 @@
-"""A read that is arriving is left to end, whatever becomes of the watch beside it."""
+"""Tests that a read that is arriving continues, whatever happens to the watch."""
 
 import asyncio
 from collections.abc import Callable
@@ -18,12 +18,12 @@
 
 from rosepath.feed import Feed, Pace
 
-# How long the whole takes to arrive over a slow link.
+# How long a full listing takes to arrive over a slow link.
 ARRIVES_S = 2.5
 
 
 def a_feed(taken_s: dict[int, float], pace: Pace) -> Feed:
-    """Build a feed that notes when it read which revision whole."""
+    """Build a feed that records when it listed each revision."""
     return Feed(
         a_store(),
         "config",
@@ -38,7 +38,7 @@
 def read_beside_a_silent_watch(
     pace: Pace, course: Callable[[Feed], None] = lambda _: None
 ) -> int:
-    """Return how often the whole is asked for until it is read."""
+    """Return how many listings are requested until one is received."""
     asked: list[str] = []
     taken_s: dict[int, float] = {}
 
@@ -66,22 +66,22 @@
     return len(asked) - 1
 
 
-def test_a_watch_that_fails_does_not_end_the_read_beside_it() -> None:
-    # The watch's connection is silent; the read in its place is broken off as the
-    # watch is given up, and starts again at its first byte.
+def test_a_failed_watch_does_not_cancel_the_concurrent_read() -> None:
+    # The watch's connection is dead. The concurrent read was cancelled as the watch
+    # timed out, and started again at its first byte.
     assert read_beside_a_silent_watch(Pace(wait_s=0.5)) == 1
 
 
-def test_news_that_ends_a_relaxed_watch_does_not_end_the_read_beside_it() -> None:
-    # What the news is about is on its way here by that very read.
+def test_cancelling_a_relaxed_watch_does_not_cancel_the_concurrent_read() -> None:
+    # That read is receiving the newer revision for which the watch is cancelled.
     pace = Pace(wait_s=10.0, relaxed=True, copy_wait_s=0.1)
     assert read_beside_a_silent_watch(pace, lambda feed: feed.hear(6)) == 1
 
 
-def test_a_change_that_watches_pass_over_is_read_once_another_vm_tells_of_it() -> None:
-    # The store's watches hear nothing for a while and go on from behind the change.
-    # The watch that was waiting as the word came ends by itself before it can be
-    # doubted; none after it ever is, and the VM stays behind for good.
+def test_a_change_that_watches_skip_is_read_once_a_peer_announces_it() -> None:
+    # The store's watches skip a change and continue after it. The watch in progress
+    # ends by itself before it can be marked as suspect, and no later one ever is, so
+    # the VM would stay behind permanently.
     taken_s: dict[int, float] = {}
     lists: list[str] = []
 
@@ -105,8 +105,8 @@
     play(script, run)
 
 
-def test_a_store_that_answers_after_seconds_is_read_in_the_end() -> None:
-    # Each read is ended at the same limit and begins anew, however many were ended.
+def test_a_store_that_responds_after_seconds_is_eventually_read() -> None:
+    # With a constant limit, each read would be cancelled and begin again.
     slow_s = 1.8
     taken_s: dict[int, float] = {}
 
--- a/tests/test_ready_without_servers.py
+++ b/tests/test_ready_without_servers.py
@@ -1,4 +1,4 @@
-"""A VM takes callers only once it knows servers to send them to."""
+"""Test that a VM accepts callers only once it has listed the servers."""
 
 import asyncio
 
@@ -6,11 +6,12 @@
 from fleet_world import World, play
 
 
-def test_a_vm_that_has_only_a_copied_configuration_takes_no_callers(
+def test_a_vm_with_only_a_copied_configuration_is_not_ready(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    # A VM that starts while the store turns it away gets the configuration from
-    # another VM, but no servers: ready, it draws callers whom it refuses all.
+    # A VM that starts while the store rejects it gets the configuration from another
+    # VM, but no servers. If it reported ready, it would receive callers and reject
+    # all their requests.
     async def run() -> None:
         world = World()
         world.configure(3)
--- a/tests/test_slow_looks.py
+++ b/tests/test_slow_looks.py
@@ -1,4 +1,4 @@
-"""What becomes of requests while a look at the store takes long."""
+"""Test of requests while a read of the store is slow."""
 
 import asyncio
 import json
@@ -15,7 +15,7 @@
 
 
 class SlowStore:
-    """Answer quickly at first, and each look after some seconds from then on."""
+    """Answer at once at first, and each read after `takes_s` once that is set."""
 
     def __init__(self) -> None:
         self.takes_s = 0.0
@@ -42,11 +42,10 @@
         return Change(revision=3, written={}, removed=frozenset())
 
 
-def test_requests_go_on_while_a_look_takes_long() -> None:
-    # The table of servers is too old to go by, and the look that is to renew it
-    # is under way, but slow. Each request waited for it, was then found not to
-    # be wanted any more as the table was still old, and waited again: all of a
-    # VM's requests stood still until the look was answered.
+def test_requests_continue_while_a_store_read_is_slow() -> None:
+    # The server table is too old to route by, and the read that refreshes it is slow.
+    # Each request waited for it, found the table still too old, and waited again: all
+    # requests of the VM stalled until the read ended.
     async def run() -> None:
         store = SlowStore()
         tables = StoreTables(
--- a/tests/test_slow_store_answers.py
+++ b/tests/test_slow_store_answers.py
@@ -1,4 +1,4 @@
-"""What becomes of requests while each answer of the store is slow."""
+"""Test of requests while each response of the store is slow."""
 
 import asyncio
 
@@ -14,12 +14,12 @@
 SETTLE_S = 4.0
 WAIT_S = 0.4 * DRAIN_S
 QUICK_S = 0.004
-# An eighth of the time in which the routes' answers earn their full worth.
+# An eighth of the latency up to which the routes' responses have their full value.
 HELD_S = 0.6 / 8
 
 
 class SlowServers:
-    """Tell of one server; from some moment on each answer is slow."""
+    """Return one server; from `slow_from_s` on, each response is slow."""
 
     def __init__(self, slow_s: float) -> None:
         self.slow_s = slow_s
@@ -48,9 +48,9 @@
 
 
 @pytest.mark.parametrize("slow_s", [0.3, 0.6, 0.8, 1.0, 1.2, 1.4])
-def test_requests_are_not_held_by_a_store_that_answers_slowly(slow_s: float) -> None:
-    # Between two answers the table grows too old to go by, time and again, and
-    # requests wait for the next, though no server has left.
+def test_requests_are_not_delayed_by_slow_store_responses(slow_s: float) -> None:
+    # Between two responses, the table repeatedly becomes too old to route by, and
+    # requests wait for the next one although no server has left.
     store = SlowServers(slow_s)
 
     async def run() -> None:
--- a/tests/test_store_calls.py
+++ b/tests/test_store_calls.py
@@ -1,4 +1,4 @@
-"""A call to the store fails when nothing arrives, not when it takes long."""
+"""Tests that a store call fails when nothing arrives, not when it takes long."""
 
 import asyncio
 from collections.abc import Callable
@@ -24,12 +24,12 @@
 from rosepath.object_store import StoreError
 
 CONFIG = "config"
-# For rounding, and for the steps of a loop.
+# For rounding and the steps of the event loop.
 SLACK_S = 0.01
 
 
 async def time_to_fail() -> float:
-    """Return how long a read of the store takes to fail."""
+    """Return how long a store read takes to fail."""
     store = a_store()
     begun_s = now_s()
     with pytest.raises(StoreError):
@@ -37,9 +37,9 @@
     return now_s() - begun_s
 
 
-def test_a_read_whose_answer_keeps_arriving_is_not_ended() -> None:
-    # Broken off, a large answer over a slow link starts again at its first byte,
-    # and is never read whole.
+def test_a_read_is_not_cancelled_while_its_response_arrives() -> None:
+    # Cancelled, a large response over a slow link starts again at its first byte and
+    # is never read in full.
     pieces = in_pieces(answer(a_listing(7)), 20, first_s=0.1, gap_s=0.3)
 
     async def run() -> None:
@@ -50,8 +50,8 @@
     play(lambda _: pieces, run)
 
 
-def test_a_watch_whose_answer_keeps_arriving_is_not_ended() -> None:
-    # The change comes at the end of the wait, and takes longer than the limit.
+def test_a_watch_is_not_cancelled_while_its_response_arrives() -> None:
+    # The change comes at the end of the wait and takes longer than the limit.
     pieces = in_pieces(answer(a_change(8)), 20, first_s=1.9, gap_s=0.3)
 
     async def run() -> None:
@@ -62,10 +62,10 @@
 
 
 @pytest.mark.parametrize("arrives", [1, 2, 10, 19])
-def test_an_answer_that_stops_arriving_is_given_up_within_the_limit(
+def test_a_response_that_stalls_times_out_within_the_limit(
     arrives: int,
 ) -> None:
-    # A connection that goes silent halfway must not hold the table back.
+    # A connection that dies within a response must not block the table.
     whole = in_pieces(answer(a_listing(7)), 20, first_s=0.1, gap_s=0.3)
     pieces = whole[:arrives]
 
@@ -76,18 +76,18 @@
     play(lambda _: pieces, run)
 
 
-def test_a_call_without_any_answer_is_given_up_within_the_patience_for_it() -> None:
-    # A read may take as long as it arrives; one whose answer never begins
-    # would be waited for without end.
+def test_a_call_without_a_response_times_out_within_the_read_patience() -> None:
+    # A read may take as long as data arrives. Without a limit on the first byte, a
+    # call without a response would never end.
     async def run() -> None:
         assert await time_to_fail() <= READ_PATIENCE_S + SLACK_S
 
     play(lambda _: (), run)
 
 
-def test_a_silent_store_is_known_within_the_limit_and_asked_again_by_then() -> None:
-    # A read that is left to run must not hold back the news that the store, or a
-    # connection to it, does not answer.
+def test_a_silent_store_is_detected_and_called_again_within_the_limit() -> None:
+    # A read that is left to run must not delay the detection that the store, or a
+    # connection to it, does not respond.
     asked: list[str] = []
 
     def script(path: str) -> Pieces:
@@ -105,9 +105,9 @@
     play(script, run)
 
 
-def test_calls_without_any_answer_are_given_up_however_many_failed() -> None:
-    # A limit that grows with each failure must not grow for ever: whether the
-    # store is back is found out by the next call alone.
+def test_calls_without_a_response_time_out_after_any_number_of_failures() -> None:
+    # A limit that grows with each failure must be bounded: only the next call detects
+    # that the store has recovered.
     async def run() -> None:
         store = a_store()
         for _ in range(30):
@@ -120,7 +120,7 @@
 
 
 def a_feed(taken_s: dict[int, float], *, pace: Callable[[], Pace] = Pace) -> Feed:
-    """Build a feed that notes when it learned of which revision."""
+    """Build a feed that records when it received each revision."""
 
     def take(change: Any) -> None:
         taken_s[change.revision] = now_s()
@@ -139,9 +139,9 @@
 SLOW_S = 1.2
 
 
-def test_a_store_slower_than_the_limit_is_read_in_the_end() -> None:
-    # Ended at a constant limit, each call to a store that is slow for everybody
-    # begins anew, and no VM learns of anything until it is quick again.
+def test_a_store_slower_than_the_limit_is_eventually_read() -> None:
+    # With a constant limit, each call to a store that is slow for all VMs begins
+    # again, and no VM reads a change until the store is quick again.
     store = SlowStore(slow_s=SLOW_S)
     taken_s: dict[int, float] = {}
 
@@ -155,8 +155,8 @@
     play(store, run)
 
 
-def test_a_change_in_a_store_that_became_slow_is_learned_of() -> None:
-    # The table is whole and followed; then the store slows down for everybody.
+def test_a_change_in_a_store_that_became_slow_is_received() -> None:
+    # The table is listed and watched; then the store slows down for all VMs.
     store = SlowStore(slow_s=0.01)
     taken_s: dict[int, float] = {}
 
@@ -177,9 +177,9 @@
 def follow_a_slow_answer(
     course: Callable[[Feed], None], *, pace: Callable[[], Pace] = Pace
 ) -> tuple[list[str], dict[int, float]]:
-    """Play a course as a change arrives for 1.5 s; return what was asked, and when.
+    """Run `course` while a change arrives for 1.5 s; return the watches requested.
 
-    The second is when the feed learned of which revision.
+    The second value maps each revision to the time at which it was received.
     """
     asked: list[str] = []
     taken_s: dict[int, float] = {}
@@ -204,17 +204,18 @@
     return [path for path in asked if "watch=5" in path], taken_s
 
 
-def test_a_watch_whose_answer_arrives_is_not_dead_by_anothers_word() -> None:
-    # Another VM on a quicker link tells of the revision while its body is on the
-    # way here: ended for that, the watch starts again at the first byte.
+def test_a_peers_revision_does_not_cancel_a_watch_that_is_receiving_it() -> None:
+    # Another VM on a faster link announces the revision while its body is in transit
+    # to this one. Cancelled for that, the watch starts again at the first byte.
     asked, taken_s = follow_a_slow_answer(lambda feed: feed.hear(6))
     assert len(asked) == 1
     assert taken_s[6] <= taken_s[5] + 1.5 + SLACK_S
 
 
-def test_a_watch_whose_answer_arrives_is_not_ended_for_a_shorter_pace() -> None:
-    # While a change is known that is not here yet, the holder's word vouches for
-    # nothing: the pace shortens, and ended the watch that was receiving it.
+def test_a_shorter_wait_does_not_cancel_a_watch_that_is_receiving() -> None:
+    # While a change is known that is not here yet, the lease holder's messages do not
+    # cover the table. The policy then shortened the wait, which cancelled the watch
+    # that was receiving the change.
     wait_s = [10.0]
 
     def shorten(_: Feed) -> None:
@@ -225,10 +226,10 @@
     assert taken_s[6] <= taken_s[5] + 1.5 + SLACK_S
 
 
-def test_a_change_over_a_slow_link_is_read_in_time_on_a_store_that_is_well() -> None:
-    # The pace shortens as the change is received, the brief look that takes the
-    # watch's place is ended at its limit, and so is each read of the whole after
-    # it: nothing fails but this VM's patience, and it never has the change.
+def test_a_change_over_a_slow_link_is_read_in_time_from_a_healthy_store() -> None:
+    # The wait shortens while the change is received. The probe that replaces the watch
+    # timed out, and so did each listing after it: only this VM's limit was exceeded,
+    # and the change never arrived.
     wait_s = [10.0]
     taken_s: dict[int, float] = {}
 
--- a/tests/test_store_stalls.py
+++ b/tests/test_store_stalls.py
@@ -1,4 +1,4 @@
-"""What a call to the store makes of a moment in which its VM stood still."""
+"""Test of a store call during which its VM is paused."""
 
 import asyncio
 
@@ -12,16 +12,16 @@
 
 
 class StallingLoop(VirtualLoop):
-    """Run on virtual time, and stand still when told so."""
+    """Run on virtual time, with pauses on request."""
 
-    def stand_still(self, for_s: float) -> None:
+    def pause(self, for_s: float) -> None:
         self._jumping.now_s += for_s
 
 
-def test_an_answer_that_came_while_the_vm_stood_still_counts() -> None:
-    # Its processor was taken from a VM for 0.7 s. The store's answer had arrived
-    # 0.3 s after the call, and was dropped as late: the call was made again, and
-    # the store taken for lost.
+def test_a_response_received_while_the_vm_is_paused_counts() -> None:
+    # The VM gets no processor time for 0.7 s. The response arrived 0.3 s after the
+    # call, but was dropped as late: the call was repeated, and the store considered
+    # unavailable.
     async def run() -> None:
         loop = asyncio.get_running_loop()
         assert isinstance(loop, StallingLoop)
@@ -31,7 +31,7 @@
         )
         store = PlatformStore(access, clock=LoopClock())
         store._pool = TimedPool({server.address: server})
-        loop.call_later(0.1, loop.stand_still, 0.7)
+        loop.call_later(0.1, loop.pause, 0.7)
         assert await store.get("leases/placement") is None
 
     with asyncio.Runner(loop_factory=StallingLoop) as runner:
--- a/tests/test_table_age.py
+++ b/tests/test_table_age.py
@@ -1,4 +1,4 @@
-"""As of when a table is known, whatever words come late or not at all."""
+"""Tests of the age of a table when messages are late or lost."""
 
 from hypothesis import example, given, strategies as st
 
@@ -8,9 +8,9 @@
 from rosepath.table_age import TableAge
 
 
-def test_a_word_counts_only_where_it_reaches_back_to_what_is_known() -> None:
-    # The holder tells what left in the last five seconds. Who knows the servers
-    # as of seven seconds ago would miss what left in between.
+def test_a_message_counts_only_if_it_covers_all_since_the_known_time() -> None:
+    # The lease holder sends the departures of the last five seconds. A VM that knows
+    # the servers as of seven seconds ago would miss those in between.
     clock = ManualClock()
     age = TableAge(clock=clock, boot_clock=clock)
     age.note_look(clock.now_s)
@@ -22,10 +22,9 @@
     assert round(age.age_s, 3) == 0.1
 
 
-def test_a_table_grows_old_while_its_machine_sleeps() -> None:
-    # The steady clock stands still in a sleep. After three seconds of it a VM
-    # took its table for as new as before, and words that had queued meanwhile
-    # for words just spoken.
+def test_a_table_ages_while_its_machine_is_suspended() -> None:
+    # The monotonic clock stops during a suspension. After three seconds of it, a VM
+    # considered its table as recent as before, and queued messages as just sent.
     clock, boot = ManualClock(), ManualClock()
     age = TableAge(clock=clock, boot_clock=boot)
     age.note_look(boot.now_s)
@@ -38,7 +37,7 @@
     assert age.age_s == 0.0
 
 
-Happening = tuple[float, str]
+Event = tuple[float, str]
 
 
 @given(
@@ -50,20 +49,20 @@
         max_size=60,
     )
 )
-# So many leave in the instant of a look that some are not told.
+# More servers leave at the time of a read than one message holds.
 @example([(0.0, "look"), (0.0, "many"), (1.0, "word")])
-def test_what_is_known_by_words_and_looks_misses_no_leave(
-    happenings: list[Happening],
+def test_no_departure_before_the_known_time_is_missed(
+    events: list[Event],
 ) -> None:
-    # A holder sees all that leave and tells; another VM hears some words and
-    # looks now and then. Whatever left before the moment as of which it takes
-    # itself to know the servers, it knows.
+    # The lease holder records all departures and sends them. Another VM receives some
+    # messages and reads the store at times. It must know every departure before the
+    # time up to which it considers its table complete.
     clock = ManualClock()
     log = DepartureLog(clock=clock)
     age = TableAge(clock=clock, boot_clock=clock)
     left_s: dict[str, float] = {}
     known: set[str] = set()
-    for pause_s, what in happenings:
+    for pause_s, what in events:
         clock.advance(pause_s)
         if what in ("leave", "many"):
             for _ in range(1 if what == "leave" else MAX_REPORTED + 3):
