--- a/src/rosepath/clock.py
+++ b/src/rosepath/clock.py
@@ -25,8 +25,8 @@
 class BootClock(SystemClock):
     """Also count the time for which the machine is suspended.
 
-    A lease expires while its holder is suspended. By a clock that stops meanwhile,
-    the holder would resume and still consider its lease valid.
+    A lease expires while its holder is suspended. By a clock that stops
+    meanwhile, the holder would resume and still consider its lease valid.
     """
 
     def monotonic_s(self) -> float:
--- a/src/rosepath/departure_log.py
+++ b/src/rosepath/departure_log.py
@@ -1,4 +1,4 @@
-"""Record recent departures of backend servers, for messages to other entry VMs."""
+"""Record recent departures of backend servers for other entry VMs."""
 
 import math
 from collections.abc import Iterable
@@ -6,15 +6,15 @@
 from rosepath.clock import Clock
 from rosepath.fleet import LeavingServer
 
-# Longer than any gap in the messages of a running lease holder: five lost messages
-# in a row at the widest interval.
+# Longer than any gap in the messages of a running lease holder: five lost
+# messages in a row at the widest interval.
 RETENTION_S = 5.0
 # As many as a compressed datagram holds, at about 25 bytes each.
 MAX_REPORTED = 40
 
 
 class DepartureLog:
-    """Hold the departures that this VM learned of, with the time it learned each."""
+    """Hold the departures that this VM learned of, each with the time."""
 
     def __init__(self, *, clock: Clock) -> None:
         self._clock = clock
@@ -34,7 +34,7 @@
         self._learned[server.name] = (self._clock.monotonic_s(), server)
 
     def told(self) -> tuple[tuple[LeavingServer, ...], float]:
-        """Return the latest departures and for how long back they are complete."""
+        """Return the latest departures and how far back they are complete."""
         self._drop_expired()
         learned = list(self._learned.values())
         omitted, reported = learned[:-MAX_REPORTED], learned[-MAX_REPORTED:]
--- a/src/rosepath/feed.py
+++ b/src/rosepath/feed.py
@@ -25,11 +25,12 @@
 # How long a watch may take to return a revision that another VM already has.
 # After that its connection may be dead although it looks open.
 PEER_REVISION_GRACE_S = 0.5
-# A response whose first byte has not arrived this long after it was due is slow,
-# and a concurrent read is sent.
+# A response whose first byte has not arrived this long after it was due is
+# slow, and a concurrent read is sent.
 SLOW_RESPONSE_S = 0.5
-# Interval between concurrent reads. The second one uses a new connection, which
-# tells a dead connection from a dead store; later ones detect its recovery.
+# Interval between concurrent reads. The second one uses a new connection,
+# which tells a dead connection from a dead store; later ones detect its
+# recovery.
 HEDGE_INTERVAL_S = 1.0
 # Bounds the concurrent reads. The first one is kept open meanwhile, so a slow
 # store has the time of all of them to answer it.
@@ -44,8 +45,8 @@
 INITIAL_BACKOFF_S = 0.05
 # Longest pause between attempts while a newer revision is known to exist.
 MAX_BACKOFF_BEHIND_S = 0.25
-# Share of the VMs that may wait for a copy but read the store at once, so that a
-# few in each data centre have it for the others to copy.
+# Share of the VMs that may wait for a copy but read the store at once, so that
+# a few in each data centre have it for the others to copy.
 DIRECT_READ_SHARE = 0.1
 # Logged as the age of a table that was never read.
 UNKNOWN_AGE_S = 1e6
@@ -58,10 +59,10 @@
     """Hold the timing of watches.
 
     A watch waits up to `wait_s`; changes are batched for `gather_s`.
-    `backoff_max_s` bounds the pauses between attempts while the store fails. The
-    store may deliver changes late to `relaxed` watches, so they do not confirm how
-    current a table is. Most VMs wait `copy_wait_s` for another VM's copy of an
-    object before they request it from the store.
+    `backoff_max_s` bounds the pauses between attempts while the store fails.
+    The store may deliver changes late to `relaxed` watches, so they do not
+    confirm how current a table is. Most VMs wait `copy_wait_s` for another
+    VM's copy of an object before they request it from the store.
     """
 
     wait_s: float = 2.0
@@ -72,7 +73,7 @@
 
 
 class _Read(NamedTuple):
-    """Hold a full listing, when it was requested and when its response began."""
+    """Hold a listing, when it was requested and when its response began."""
 
     requested_s: float
     response_start_s: float
@@ -117,9 +118,9 @@
 class Feed:
     """Keep a table in sync with one kind of objects in the store.
 
-    Lists the objects once, then watches for changes, and lists them again after any
-    failure. Owns the known revision and the age of the table; the callbacks apply
-    listings and changes.
+    Lists the objects once, then watches for changes, and lists them again
+    after any failure. Owns the known revision and the age of the table; the
+    callbacks apply listings and changes.
     """
 
     def __init__(
@@ -154,8 +155,8 @@
         self.changed_revision = 0
         self.recovered_s = -1e9
         self.in_touch_s = -1e9
-        # Set to read the store at once. The futures below are resolved when that
-        # read succeeds or fails.
+        # Set to read the store at once. The futures below are resolved when
+        # that read succeeds or fails.
         self._refresh_requested = asyncio.Event()
         self._refresh_waiters: set[asyncio.Future[None]] = set()
         self.store_unavailable = False
@@ -166,8 +167,8 @@
         self._last_logged_s = -1e9
         # Set while another VM is known to have a newer revision.
         self.wanted = asyncio.Event()
-        # The latest time at which the store or the network to it is known to have
-        # failed.
+        # The latest time at which the store or the network to it is known to
+        # have failed.
         self._last_failure_s = -1e9
 
     @property
@@ -221,7 +222,8 @@
     async def _list(self, *, fresh: bool = False) -> None:
         """List all objects with hedged reads.
 
-        `fresh` makes the first read use a new connection, as all later ones do.
+        `fresh` makes the first read use a new connection, as all later ones
+        do.
         """
         read = await first_response(
             self._reads(fresh=fresh),
@@ -241,7 +243,8 @@
 
         async def read(on_begun: OnBegun) -> _Read:
             nonlocal fresh
-            # Only the first read may use a pooled connection, which may be dead.
+            # Only the first read may use a pooled connection, which may be
+            # dead.
             this_fresh, fresh = fresh, True
             requested_s = self._requested_s = self.age.now_s()
             response_start_s = math.inf
@@ -265,12 +268,12 @@
         )
 
     async def _wait_for_changes(self) -> tuple[Change, float | None] | None:
-        """Wait for changes; return them and the time up to which they are complete.
+        """Return the next changes and the time up to which they are complete.
 
         That time is None after a relaxed watch. Return None if the wait was
-        cancelled: another VM has a newer revision, or the policy no longer allows
-        the wait. Long waits rely on the lease holder's status messages, which may
-        have become too old.
+        cancelled: another VM has a newer revision, or the policy no longer
+        allows the wait. Long waits rely on the lease holder's status messages,
+        which may have become too old.
         """
         watch = self._watch = self._begin_watch()
         self._refresh_requested.clear()
@@ -299,8 +302,9 @@
         pace = self._pace()
         wait_s = PROBE_WAIT_S if self.age.age_s > pace.wait_s else pace.wait_s
         self._requested_s = self.age.now_s()
-        # A relaxed watch may receive changes late, so it does not serve a refresh
-        # that requests wait for, nor a change that another VM already has.
+        # A relaxed watch may receive changes late, so it does not serve a
+        # refresh that requests wait for, nor a change that another VM already
+        # has.
         relaxed = pace.relaxed and not (
             self._refresh_waiters or (self._urgent and self.behind)
         )
@@ -324,7 +328,7 @@
 
     async def _wait_while_allowed(self, watch: _Watch) -> None:
         """Wait until a watch ends or has to give way to a read that is due."""
-        hurry = asyncio.ensure_future(self._refresh_requested.wait())
+        refresh = asyncio.ensure_future(self._refresh_requested.wait())
         try:
             while (
                 watch.is_probe or watch.arriving or watch.wait_s <= self._pace().wait_s
@@ -338,26 +342,26 @@
                         return
                 alone = watch.is_probe or watch.arriving
                 done, _ = await asyncio.wait(
-                    {watch.call} if alone else {watch.call, hurry},
+                    {watch.call} if alone else {watch.call, refresh},
                     timeout=POLICY_CHECK_S,
                     return_when=asyncio.FIRST_COMPLETED,
                 )
                 if watch.call in done or (done and not watch.arriving):
                     return
         finally:
-            hurry.cancel()
+            refresh.cancel()
 
     def _note_response_time(self, *, due_s: float, response_start_s: float) -> None:
-        """Record whether a response began within the limit after it was due."""
+        """Record whether a response began in time after it was due."""
         self._response_was_slow = (
             min(response_start_s, self.age.now_s()) > due_s + SLOW_RESPONSE_S
         )
 
     async def _read_alongside(self, watch: _Watch) -> None:
-        """List all objects while a watch runs; use whichever is answered first.
+        """List all objects beside a watch; use whichever is answered first.
 
-        The connection of the watch may be dead, or the store slow. Cancelled in the
-        second case, the watch would have to begin again.
+        The connection of the watch may be dead, or the store slow. Cancelled
+        in the second case, the watch would have to begin again.
         """
         listing = asyncio.ensure_future(self._list(fresh=True))
         try:
@@ -373,7 +377,7 @@
                 listing.exception()
 
     async def _gather(self) -> None:
-        """Delay the next watch to batch changes, while the policy allows it."""
+        """Delay the next watch to batch changes, as the policy allows."""
         started_s = self._clock.monotonic_s()
         self._refresh_requested.clear()
         while not self._refresh_requested.is_set():
@@ -431,7 +435,7 @@
         return self._peer_revision > self.changed_revision
 
     def take_copy(self, stored: StoredObject) -> bool:
-        """Apply an object that another VM read; return False if it is not newer."""
+        """Apply an object that another VM read; return whether it is newer."""
         if stored.version <= self.changed_revision:
             return False
         self._on_change(
@@ -444,19 +448,20 @@
         self._note_changed({stored.name: stored})
         self.revision = max(self.revision, stored.version)
         if self._watch is not None:
-            # The watch would return the same object again, in a larger response.
+            # The watch would return the same object again, in a larger
+            # response.
             self._watch.call.cancel()
         return True
 
     def _cancel_relaxed_watch(self, revision: int, watch: _Watch) -> None:
-        """Cancel a relaxed watch for a full one if a revision has not arrived."""
+        """Cancel a relaxed watch if a revision has not arrived."""
         if watch is not self._watch or self.changed_revision >= revision:
             return
         if not watch.arriving:
             watch.call.cancel()
 
     def _mark_suspect(self, revision: int, watch: _Watch) -> None:
-        """Have the store read at once if a watch has not returned a revision."""
+        """Mark a watch as suspect if it has not returned a revision."""
         if watch is not self._watch or self.changed_revision >= revision:
             return
         _log.warning("watch_doubted", kind=self._kind, revision=self.revision)
@@ -496,8 +501,8 @@
     def _note_failure(self, error: StoreError) -> None:
         self._resolve()
         again, self.store_unavailable = self.store_unavailable, True
-        # The first call may fail only because its connection died while idle. The
-        # next call uses a new connection.
+        # The first call may fail only because its connection died while idle.
+        # The next call uses a new connection.
         if again:
             self._last_failure_s = max(self._last_failure_s, self._requested_s)
         now_s = self._clock.monotonic_s()
--- a/src/rosepath/late_calls.py
+++ b/src/rosepath/late_calls.py
@@ -1,7 +1,7 @@
-"""Hedged calls: a slow call continues beside further ones; the first response wins.
+"""Hedge slow calls: let them run beside new ones; the first response wins.
 
-A call that is cancelled because it is slow begins again at the first byte. Where
-every response takes longer than the limit, none would ever be read.
+A call that is cancelled because it is slow begins again at the first byte.
+Where every response takes longer than the limit, none would ever be read.
 """
 
 import asyncio
@@ -24,10 +24,10 @@
 ) -> T:
     """Return the first response; add calls while none has begun to arrive.
 
-    The first call is slow after `slow_after_s`; further calls follow at intervals of
-    `hedge_interval_s`, with at most `max_concurrent` running. Each call is passed a
-    callback for the first byte of its response. Raise the exception of the last
-    running call if all fail.
+    The first call is slow after `slow_after_s`; further calls follow at
+    intervals of `hedge_interval_s`, with at most `max_concurrent` running.
+    Each call is passed a callback for the first byte of its response. Raise
+    the exception of the last running call if all fail.
     """
     running: dict[asyncio.Future[T], int] = {}
     arriving: set[int] = set()
--- a/src/rosepath/object_store.py
+++ b/src/rosepath/object_store.py
@@ -1,4 +1,4 @@
-"""Interfaces to the object store: versioned objects, watches and the VM list."""
+"""Interfaces to the object store: objects, watches and the VM list."""
 
 from collections.abc import AsyncIterator, Mapping
 from dataclasses import dataclass
@@ -18,7 +18,7 @@
 
 
 class ObjectEvent(NamedTuple):
-    """Report a changed object, or with an empty name that the watch is alive."""
+    """Report a changed object or, without a name, that the watch is alive."""
 
     name: str
     version: int
@@ -69,8 +69,8 @@
 class ListWatchPort(Protocol):
     """List one kind of objects and watch it for changes.
 
-    `on_begun` is called when the first byte of a response arrives. `fresh` requests
-    a new connection.
+    `on_begun` is called when the first byte of a response arrives. `fresh`
+    requests a new connection.
     """
 
     async def list(
@@ -93,7 +93,7 @@
 
 
 class ObjectsPort(Protocol):
-    """Read and write objects; every call returns within its time limit or raises."""
+    """Read and write objects; calls return within a time limit or raise."""
 
     async def get(self, name: str) -> StoredObject | None: ...
 
--- a/src/rosepath/paced_call.py
+++ b/src/rosepath/paced_call.py
@@ -7,9 +7,9 @@
 class PacedCall:
     """Make a call on request, at most once per interval.
 
-    A request outside an interval is served at once. All requests within the interval
-    after a call are served by one call at its end. An interval of 0 disables the
-    throttling.
+    A request outside an interval is served at once. All requests within the
+    interval after a call are served by one call at its end. An interval of 0
+    disables the throttling.
     """
 
     def __init__(
--- a/src/rosepath/store_pace.py
+++ b/src/rosepath/store_pace.py
@@ -1,16 +1,19 @@
 """Policies for how closely an entry VM watches the store.
 
-Each response to a watch is a billed call, and servers' entries change several times
-a second. The holder of the placement lease watches them closely and sends all other
-entry VMs which servers leave and which models the engines have loaded. While its
-messages confirm that its own table is current, the others read the rest
-infrequently. Without them, each entry VM watches the store itself.
-
-VMs covered by these messages may use relaxed watches, at a tenth of the price. Their
-responses may be seconds old, but the messages cover the changes that are urgent.
-
-All times are parts of one limit: how soon a change must be acted on. No table in use
-is older than that limit, less the time for a store read of the VM's own.
+Each response to a watch is a billed call, and servers' entries change several
+times a second. The holder of the placement lease watches them closely and
+sends all other entry VMs which servers leave and which models the engines have
+loaded. While its messages confirm that its own table is current, the others
+read the rest infrequently. Without them, each entry VM watches the store
+itself.
+
+VMs covered by these messages may use relaxed watches, at a tenth of the price.
+Their responses may be seconds old, but the messages cover the changes that are
+urgent.
+
+All times are parts of one limit: how soon a change must be acted on. No table
+in use is older than that limit, less the time for a store read of the VM's
+own.
 """
 
 import math
@@ -18,30 +21,32 @@
 
 from rosepath.feed import Pace
 
-# A store read takes a few milliseconds, a failed one half a second; that one is due
-# is detected within a quarter of a second.
+# A store read takes a few milliseconds, a failed one half a second; that one
+# is due is detected within a quarter of a second.
 READ_TIME_S = 0.8
-# Bursts of changes are batched. A VM that the lease holder's messages cover batches
-# for longer, as mostly new servers are missing from those messages.
+# Bursts of changes are batched. A VM that the lease holder's messages cover
+# batches for longer, as mostly new servers are missing from those messages.
 GATHER_S = 0.25
 GATHER_CROWDED_SHARE = 0.25
 GATHER_COVERED_S = 3.0
 GATHER_COVERED_CROWDED_S = 8.0
-# A watch without changes confirms nothing until it ends. The table that the lease
-# holder's messages cover is as old as its wait plus the message interval, and must
-# stay recent enough when one message is lost.
+# A watch without changes confirms nothing until it ends. The table that the
+# lease holder's messages cover is as old as its wait plus the message
+# interval, and must stay recent enough when one message is lost.
 WAIT_SHARE = 0.4
-# One of two consecutive messages may be lost. Where messages are infrequent and the
-# limit is short, waits are never below this share of the limit.
+# One of two consecutive messages may be lost. Where messages are infrequent
+# and the limit is short, waits are never below this share of the limit.
 MESSAGE_INTERVALS = 2
 WAIT_MIN_SHARE = 0.1
-# A VM covered by messages detects a dead watch by them. The store keeps 20 s of
-# history, and a watch begins up to 8 s after the previous one.
+# A VM covered by messages detects a dead watch by them. The store keeps 20 s
+# of history, and a watch begins up to 8 s after the previous one.
 COVERED_WAIT_S = 10.0
-# A configuration may be large. Read by many VMs at once, it saturates the store's
-# link and delays callers' streams on slow links; copies are compressed.
+# A configuration may be large. Read by many VMs at once, it saturates the
+# store's link and delays callers' streams on slow links; copies are
+# compressed.
 COPY_WAIT_CROWDED_S = 1.0
-# While the store fails, covered VMs learn from messages of its recovery or changes.
+# While the store fails, covered VMs learn from messages of its recovery or
+# changes.
 BACKOFF_UNCOVERED_S = 0.5
 BACKOFF_COVERED_S = 2.0
 
@@ -50,10 +55,10 @@
 class Following:
     """Hold the conditions from which an entry VM chooses its watch policy.
 
-    `told_age_s` is the age of the table that the lease holder's messages cover,
-    `bound_s` how soon a change must be acted on, `words_every_s` the interval of
-    this VM's own messages (0 if it does not hold the lease), `crowded` whether it is
-    one of many VMs that do not hold it.
+    `told_age_s` is the age of the table that the lease holder's messages
+    cover, `bound_s` how soon a change must be acted on, `words_every_s` the
+    interval of this VM's own messages (0 if it does not hold the lease),
+    `crowded` whether it is one of many VMs that do not hold it.
     """
 
     bound_s: float
@@ -63,7 +68,7 @@
 
     @property
     def covered(self) -> bool:
-        """Return whether the lease holder's messages replace own store reads."""
+        """Return whether the lease holder's messages replace store reads."""
         return self.told_age_s < self.bound_s - READ_TIME_S
 
     @property
@@ -100,7 +105,7 @@
 
 
 def catalog_pace(following: Following) -> Pace:
-    """Return the policy for watching the configuration, which seldom changes."""
+    """Return the policy for watching the rarely changed configuration."""
     covered, crowded = following.covered, following.crowded
     return Pace(
         wait_s=COVERED_WAIT_S if covered else following.wait_s,
--- a/src/rosepath/store_session.py
+++ b/src/rosepath/store_session.py
@@ -1,4 +1,4 @@
-"""Access the object store from a daemon, with a call budget and endless watches."""
+"""Access the store from a daemon, with a call budget and endless watches."""
 
 import asyncio
 import json
@@ -29,8 +29,8 @@
     """Call the store within a local rate limit; implement `PlatformPort`."""
 
     def __init__(self, settings: PlatformSettings, *, clock: Clock) -> None:
-        # A watch waits for half of the silence limit and its call times out within
-        # the other half, so a dead watch is detected within the limit.
+        # A watch waits for half of the silence limit and its call times out
+        # within the other half, so a dead watch is detected within the limit.
         self._wait_s = settings.watch_silence_s / 2
         limit_s = min(settings.call_timeout_s, settings.watch_silence_s / 2)
         access = StoreAccess(
@@ -85,8 +85,8 @@
     async def watch(self, prefix: str) -> AsyncIterator[ObjectEvent]:
         """Yield changes until cancelled, and restart the watch after failures.
 
-        Each start yields an event with an empty name. The consumer then reads the
-        current state and so misses no change between two watches.
+        Each start yields an event with an empty name. The consumer then reads
+        the current state and so misses no change between two watches.
         """
         kind = prefix.partition("/")[0]
         backoff_s = INITIAL_BACKOFF_S
--- a/src/rosepath/store_tables.py
+++ b/src/rosepath/store_tables.py
@@ -1,4 +1,4 @@
-"""Keep the catalog and the backend servers in sync with the platform's store."""
+"""Keep the catalog and the backend servers in sync with the store."""
 
 import asyncio
 import math
@@ -32,17 +32,17 @@
 
 
 class _Absence(NamedTuple):
-    """Hold when an entry was last known to exist, and a revision without it."""
+    """Hold when an entry last existed, and a revision without it."""
 
     last_present_s: float
     gone_at: int
 
 
 class StoreTables:
-    """Hold the operator's catalog and the backend servers as read from the store.
+    """Hold the operator's catalog and the backend servers from the store.
 
-    Owns the two watches that keep them current, and the log of departures that is
-    sent to the other entry VMs.
+    Owns the two watches that keep them current, and the log of departures that
+    is sent to the other entry VMs.
     """
 
     def __init__(
@@ -114,7 +114,7 @@
 
     @property
     def configuration_revision(self) -> int:
-        """Return the store's revision of the configuration in force; 0 if none."""
+        """Return the revision of the configuration in force; 0 if none."""
         return self.configuration.version if self.configuration else 0
 
     def _servers_listed(self, listing: Listing) -> None:
@@ -157,8 +157,8 @@
     def _remove_unreadable(self, stored: StoredObject) -> None:
         """Remove a server whose entry was overwritten by another writer.
 
-        What runs at its address is unknown until the server writes its entry again
-        with its next heartbeat.
+        What runs at its address is unknown until the server writes its entry
+        again with its next heartbeat.
         """
         name = stored.name.partition("/")[2]
         self._absent.pop(name, None)
@@ -166,10 +166,11 @@
             self._remove(name, gone_at=stored.version)
 
     def _remove_missing(self, names: Iterable[str], *, gone_at: int) -> None:
-        """Remove servers, after a grace period if their entries may have expired.
+        """Remove servers, after a grace period if entries may have expired.
 
-        Entries of running servers expire during an outage of the store and return
-        soon after it. Removed at once, they would leave no server for requests.
+        Entries of running servers expire during an outage of the store and
+        return soon after it. Removed at once, they would leave no server for
+        requests.
         """
         wait_s = self._expiry_grace_s()
         for name in names:
@@ -185,10 +186,11 @@
     def _expiry_grace_s(self) -> float:
         """Return how long to wait for a removed entry; 0 if it did not expire.
 
-        An entry may have been removed right after the table was last confirmed, so
-        the wait counts from then. Counted from when the removal was read, both
-        times would add up to more than a server that left may be used for. After
-        an outage of its own, a VM is bound by that only once it has settled.
+        An entry may have been removed right after the table was last
+        confirmed, so the wait counts from then. Counted from when the removal
+        was read, both times would add up to more than a server that left may
+        be used for. After an outage of its own, a VM is bound by that only
+        once it has settled.
         """
         now_s, feed = self._clock.monotonic_s(), self.servers_feed
         if feed.store_unavailable:
@@ -214,7 +216,7 @@
         self.leaves.note(LeavingServer(name, gone_at=gone_at))
 
     def hear_leaving(self, leaving: LeavingServer) -> bool:
-        """Apply a departure that another VM reports; return whether it is new."""
+        """Apply a departure reported by a peer; return whether it is new."""
         if not self.fleet.note_leaving(leaving):
             return False
         if leaving.gone_at:
@@ -223,7 +225,7 @@
         return True
 
     def heed_leaving(self, server: BackendServer) -> bool:
-        """Apply a departure that the server announces; return whether it is new."""
+        """Apply a departure a server announces; return whether it is new."""
         leaving = LeavingServer(server.name, server.entry.born_ms)
         is_new = self.hear_leaving(leaving)
         if is_new:
@@ -254,16 +256,16 @@
 
     @property
     def looked_ago_s(self) -> float:
-        """Return the age of the server table, by store reads or peers' messages."""
+        """Return the age of the server table, by reads or peers' messages."""
         return round(self.servers_feed.age.age_s, 3)
 
     @property
     def vouched_age_s(self) -> float:
         """Return the age of the server table that other VMs may rely on.
 
-        While missing entries may only have expired, it is not known which servers
-        left. VMs that did not receive the departure would go on using such a server
-        after this VM stops.
+        While missing entries may only have expired, it is not known which
+        servers left. VMs that did not receive the departure would go on using
+        such a server after this VM stops.
         """
         age = self.servers_feed.age
         last_present_s = min(
@@ -276,9 +278,9 @@
     def sound(self) -> bool:
         """Return whether the server table is recent enough to route by.
 
-        It is while no server can have left for longer than a departing server may
-        still be used. While the store is unavailable, the table cannot be refreshed
-        and stays in use.
+        It is while no server can have left for longer than a departing server
+        may still be used. While the store is unavailable, the table cannot be
+        refreshed and stays in use.
         """
         feed = self.servers_feed
         usable_s = max(self._drain_s - REQUEST_TRANSIT_S, self._drain_s / 2)
@@ -293,8 +295,8 @@
     def note_trouble(self) -> None:
         """Note that the store does not respond to the placement lease holder.
 
-        The lease holder writes each second and detects an outage that begins and
-        ends within one wait of this VM's watch.
+        The lease holder writes each second and detects an outage that begins
+        and ends within one wait of this VM's watch.
         """
         self._store_failure_s = self._clock.monotonic_s()
 
--- a/src/rosepath/table_age.py
+++ b/src/rosepath/table_age.py
@@ -1,10 +1,10 @@
-"""Track how current a table is, from store reads and the lease holder's messages."""
+"""Track how current a table is, by store reads and peers' messages."""
 
 from rosepath.clock import Clock
 
 NEVER_S = -1e9
-# Messages may have queued while the machine was suspended for longer than this. The
-# drift between the two clocks is far smaller.
+# Messages may have queued while the machine was suspended for longer than
+# this. The drift between the two clocks is far smaller.
 SUSPENSION_TOLERANCE_S = 0.1
 
 
@@ -48,11 +48,13 @@
     def hear(self, *, known_ago_s: float, complete_ago_s: float) -> None:
         """Apply a message that covers all changes between two times.
 
-        It applies only if all changes before the first of them are known already.
+        It applies only if all changes before the first of them are known
+        already.
         """
         now_s = self.now_s()
         if self._suspension_s() > self._suspended_s + SUSPENSION_TOLERANCE_S:
-            # Messages that queued during a suspension are older than they appear.
+            # Messages that queued during a suspension are older than they
+            # appear.
             self._suspended_s = self._suspension_s()
             self.last_read_s = self._told_s = NEVER_S
         if self.known_s > now_s - complete_ago_s:
--- a/tests/test_feed.py
+++ b/tests/test_feed.py
@@ -89,8 +89,9 @@
 
 
 def test_one_listing_follows_a_store_failure() -> None:
-    # The store may have dropped the history of an outage, so a watch can not resume.
-    # One call lists all objects, and the next watch starts at its revision.
+    # The store may have dropped the history of an outage, so a watch cannot
+    # resume. One call lists all objects, and the next watch starts at its
+    # revision.
     gone = Change(revision=9, written={}, removed=frozenset({"servers/b"}))
     store = ScriptedStore(
         [listing(5, "servers/a"), listing(7, "servers/b")],
@@ -126,9 +127,10 @@
 
 def test_changes_during_an_interruption_are_read_right_after_it() -> None:
     # The connections of all watches break while the operator changes the
-    # configuration, and the history is dropped. The store holds a watch that resumes
-    # from the old revision until the next change, and only then reports the lost
-    # history: the change took effect after 5.7 s, where 2 s are allowed.
+    # configuration, and the history is dropped. The store holds a watch that
+    # resumes from the old revision until the next change, and only then
+    # reports the lost history: the change took effect after 5.7 s, where 2 s
+    # are allowed.
     store = ScriptedStore(
         [listing(5, "config/main"), listing(9, "config/main", "config/next")],
         [StoreError("answer closed early", step=Step.STORE)],
@@ -139,9 +141,9 @@
 
 
 def test_a_newer_revision_on_a_peer_ends_the_pause_after_a_failure() -> None:
-    # The store rejects this VM, and its pauses have grown. Meanwhile the other VMs
-    # apply a new configuration. Requests here must not use the old one until the
-    # pause ends.
+    # The store rejects this VM, and its pauses have grown. Meanwhile the other
+    # VMs apply a new configuration. Requests here must not use the old one
+    # until the pause ends.
     async def run() -> None:
         whole = listing(9, "config/main")
         store = ScriptedStore([whole], [])
@@ -177,8 +179,8 @@
 
 
 def test_a_refresh_cancels_a_long_watch() -> None:
-    # A VM resumes from suspension with a table that is too old to route by, while its
-    # watch may wait for ten more seconds.
+    # A VM resumes from suspension with a table that is too old to route by,
+    # while its watch may wait for ten more seconds.
     async def run() -> None:
         clock = ManualClock()
         whole = listing(5, "servers/a")
@@ -210,9 +212,9 @@
 
 
 def test_a_relaxed_watch_confirms_no_age_and_yields_to_a_newer_revision() -> None:
-    # The response to a relaxed watch may be seconds old. If it counted as a store
-    # read, requests would go to servers that left meanwhile. Only a full watch
-    # returns in time a change that another VM already has.
+    # The response to a relaxed watch may be seconds old. If it counted as a
+    # store read, requests would go to servers that left meanwhile. Only a full
+    # watch returns in time a change that another VM already has.
     async def run() -> None:
         clock = ManualClock()
         store = ScriptedStore([listing(5, "servers/a")], [])
@@ -276,8 +278,8 @@
 
 
 def test_a_single_failed_call_is_no_store_outage() -> None:
-    # Its connection may have died long before, while idle. Only the next call, over a
-    # new connection, shows that the store fails at that time.
+    # Its connection may have died long before, while idle. Only the next call,
+    # over a new connection, shows that the store fails at that time.
     async def run() -> None:
         clock = ManualClock()
         store = ScriptedStore([], [])
@@ -317,7 +319,7 @@
         raise AssertionError("nothing was listed yet")
 
     def backed_off(self) -> bool:
-        """Return whether the pauses between calls have grown to their maximum."""
+        """Return whether the pauses between calls are at their maximum."""
         return any(gap_s > BACKED_OFF_S for gap_s in self.gaps_s())
 
     def gaps_s(self) -> Sequence[float]:
@@ -327,8 +329,8 @@
 
 MAX_PAUSE_S = 60.0
 BACKED_OFF_S = 0.6 * MAX_PAUSE_S
-# Longest interval between calls, besides their own duration, while a VM is known to be
-# behind: the store may recover at any time.
+# Longest interval between calls, besides their own duration, while a VM is
+# known to be behind: the store may recover at any time.
 RETRY_INTERVAL_S = 1.0
 TAKES_S = 0.3
 
@@ -336,7 +338,7 @@
 def run_after_backoff(
     course: Callable[[Feed], Awaitable[None]],
 ) -> FailingStore:
-    """Let the pauses of a feed grow, then run `course`; return the store's record."""
+    """Let the pauses of a feed grow, run `course`, return the store."""
     store = FailingStore(takes_s=TAKES_S)
 
     async def run() -> None:
@@ -362,8 +364,9 @@
 
 
 def test_a_revision_announced_during_a_failing_call_shortens_the_next_pause() -> None:
-    # Another VM announces a revision during a call of this VM. It must not be dropped
-    # when the call fails: later messages repeat it, but not as a new revision.
+    # Another VM announces a revision during a call of this VM. It must not be
+    # dropped when the call fails: later messages repeat it, but not as a new
+    # revision.
     async def course(feed: Feed) -> None:
         await asyncio.sleep(TAKES_S / 3)
         feed.hear(9)
@@ -389,8 +392,8 @@
 
 
 def test_pauses_stay_long_without_a_newer_revision() -> None:
-    # A failing store is not called at short intervals without a reason, and a message
-    # without a newer revision is none.
+    # A failing store is not called at short intervals without a reason, and a
+    # message without a newer revision is none.
     async def course(feed: Feed) -> None:
         for _ in range(5 * 60):
             await asyncio.sleep(0.2)
--- a/tests/test_late_calls.py
+++ b/tests/test_late_calls.py
@@ -24,8 +24,8 @@
 
 
 def test_a_response_slower_than_the_limit_is_still_used() -> None:
-    # When each call was cancelled at the limit, nothing was ever read from a slow
-    # store.
+    # When each call was cancelled at the limit, nothing was ever read from a
+    # slow store.
     async def run() -> None:
         late: list[float] = []
 
@@ -50,7 +50,8 @@
 
 
 def test_a_dead_connection_does_not_delay_the_response_over_another() -> None:
-    # Without a second call, a connection that died unnoticed hides a healthy store.
+    # Without a second call, a connection that died unnoticed hides a healthy
+    # store.
     async def run() -> None:
         calls: list[int] = []
 
@@ -86,8 +87,8 @@
 
 
 def test_a_failed_call_does_not_cancel_the_other() -> None:
-    # The failure of a further call would otherwise end the first one, whose response
-    # is about to arrive.
+    # The failure of a further call would otherwise end the first one, whose
+    # response is about to arrive.
     async def run() -> None:
         made: list[int] = []
 
@@ -104,8 +105,8 @@
 
 
 def test_the_failure_of_the_last_call_is_raised() -> None:
-    # A store that rejects calls must be detected at once. If the exception were
-    # suppressed, the rejection would look like a wait.
+    # A store that rejects calls must be detected at once. If the exception
+    # were suppressed, the rejection would look like a wait.
     async def run() -> None:
         async def call(_: OnBegun) -> str:
             raise ConnectionError
@@ -160,8 +161,8 @@
 
 
 def test_rejected_calls_are_paced_beside_a_silent_call() -> None:
-    # A rejection is immediate. Followed at once by the next call, it would become a
-    # busy loop.
+    # A rejection is immediate. Followed at once by the next call, it would
+    # become a busy loop.
     async def run() -> None:
         made: list[int] = []
 
--- a/tests/test_leaves_untold.py
+++ b/tests/test_leaves_untold.py
@@ -16,9 +16,9 @@
 def test_a_server_leaves_while_the_lease_holder_restarts(
     monkeypatch: pytest.MonkeyPatch, size: Size, busy: bool
 ) -> None:
-    # A restarted lease holder must not report its departures as complete for the time
-    # before its start: its first listing already lacks the server, so it never
-    # reports that departure to the other VMs.
+    # A restarted lease holder must not report its departures as complete for
+    # the time before its start: its first listing already lacks the server, so
+    # it never reports that departure to the other VMs.
     async def course(world: World) -> None:
         holder = world.holder
         for number in range(3):
@@ -39,8 +39,8 @@
 def test_a_server_leaves_as_the_store_closes_all_watches(
     monkeypatch: pytest.MonkeyPatch, size: Size, busy: bool
 ) -> None:
-    # A single closed watch must not count as an outage: a server missing from the
-    # listing right after it was kept as if its entry had expired.
+    # A single closed watch must not count as an outage: a server missing from
+    # the listing right after it was kept as if its entry had expired.
     async def course(world: World) -> None:
         # Vary the time since the last store read.
         for number in range(10):
@@ -52,8 +52,8 @@
 
 
 def test_a_new_departure_log_covers_no_time_before_its_start() -> None:
-    # A VM that has just started must not report its departures as complete for the
-    # last seconds.
+    # A VM that has just started must not report its departures as complete for
+    # the last seconds.
     clock = ManualClock()
     clock.advance(100.0)
     _, complete_ago_s = DepartureLog(clock=clock).told()
--- a/tests/test_reads_left_to_arrive.py
+++ b/tests/test_reads_left_to_arrive.py
@@ -1,4 +1,4 @@
-"""Tests that a read that is arriving continues, whatever happens to the watch."""
+"""Tests that an arriving read continues if the watch beside it ends."""
 
 import asyncio
 from collections.abc import Callable
@@ -67,21 +67,22 @@
 
 
 def test_a_failed_watch_does_not_cancel_the_concurrent_read() -> None:
-    # The watch's connection is dead. The concurrent read was cancelled as the watch
-    # timed out, and started again at its first byte.
+    # The watch's connection is dead. The concurrent read was cancelled as the
+    # watch timed out, and started again at its first byte.
     assert read_beside_a_silent_watch(Pace(wait_s=0.5)) == 1
 
 
 def test_cancelling_a_relaxed_watch_does_not_cancel_the_concurrent_read() -> None:
-    # That read is receiving the newer revision for which the watch is cancelled.
+    # That read is receiving the newer revision for which the watch is
+    # cancelled.
     pace = Pace(wait_s=10.0, relaxed=True, copy_wait_s=0.1)
     assert read_beside_a_silent_watch(pace, lambda feed: feed.hear(6)) == 1
 
 
 def test_a_change_that_watches_skip_is_read_once_a_peer_announces_it() -> None:
-    # The store's watches skip a change and continue after it. The watch in progress
-    # ends by itself before it can be marked as suspect, and no later one ever is, so
-    # the VM would stay behind permanently.
+    # The store's watches skip a change and continue after it. The watch in
+    # progress ends by itself before it can be marked as suspect, and no later
+    # one ever is, so the VM would stay behind permanently.
     taken_s: dict[int, float] = {}
     lists: list[str] = []
 
--- a/tests/test_ready_without_servers.py
+++ b/tests/test_ready_without_servers.py
@@ -9,9 +9,9 @@
 def test_a_vm_with_only_a_copied_configuration_is_not_ready(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    # A VM that starts while the store rejects it gets the configuration from another
-    # VM, but no servers. If it reported ready, it would receive callers and reject
-    # all their requests.
+    # A VM that starts while the store rejects it gets the configuration from
+    # another VM, but no servers. If it reported ready, it would receive
+    # callers and reject all their requests.
     async def run() -> None:
         world = World()
         world.configure(3)
--- a/tests/test_slow_looks.py
+++ b/tests/test_slow_looks.py
@@ -15,7 +15,7 @@
 
 
 class SlowStore:
-    """Answer at once at first, and each read after `takes_s` once that is set."""
+    """Respond after `takes_s`, at first at once."""
 
     def __init__(self) -> None:
         self.takes_s = 0.0
@@ -43,9 +43,9 @@
 
 
 def test_requests_continue_while_a_store_read_is_slow() -> None:
-    # The server table is too old to route by, and the read that refreshes it is slow.
-    # Each request waited for it, found the table still too old, and waited again: all
-    # requests of the VM stalled until the read ended.
+    # The server table is too old to route by, and the read that refreshes it
+    # is slow. Each request waited for it, found the table still too old, and
+    # waited again: all requests of the VM stalled until the read ended.
     async def run() -> None:
         store = SlowStore()
         tables = StoreTables(
--- a/tests/test_slow_store_answers.py
+++ b/tests/test_slow_store_answers.py
@@ -14,7 +14,8 @@
 SETTLE_S = 4.0
 WAIT_S = 0.4 * DRAIN_S
 QUICK_S = 0.004
-# An eighth of the latency up to which the routes' responses have their full value.
+# An eighth of the latency up to which the routes' responses have their full
+# value.
 HELD_S = 0.6 / 8
 
 
@@ -49,8 +50,8 @@
 
 @pytest.mark.parametrize("slow_s", [0.3, 0.6, 0.8, 1.0, 1.2, 1.4])
 def test_requests_are_not_delayed_by_slow_store_responses(slow_s: float) -> None:
-    # Between two responses, the table repeatedly becomes too old to route by, and
-    # requests wait for the next one although no server has left.
+    # Between two responses, the table repeatedly becomes too old to route by,
+    # and requests wait for the next one although no server has left.
     store = SlowServers(slow_s)
 
     async def run() -> None:
--- a/tests/test_store_calls.py
+++ b/tests/test_store_calls.py
@@ -1,4 +1,4 @@
-"""Tests that a store call fails when nothing arrives, not when it takes long."""
+"""Tests that a store call fails if nothing arrives, not if it is slow."""
 
 import asyncio
 from collections.abc import Callable
@@ -38,8 +38,8 @@
 
 
 def test_a_read_is_not_cancelled_while_its_response_arrives() -> None:
-    # Cancelled, a large response over a slow link starts again at its first byte and
-    # is never read in full.
+    # Cancelled, a large response over a slow link starts again at its first
+    # byte and is never read in full.
     pieces = in_pieces(answer(a_listing(7)), 20, first_s=0.1, gap_s=0.3)
 
     async def run() -> None:
@@ -77,8 +77,8 @@
 
 
 def test_a_call_without_a_response_times_out_within_the_read_patience() -> None:
-    # A read may take as long as data arrives. Without a limit on the first byte, a
-    # call without a response would never end.
+    # A read may take as long as data arrives. Without a limit on the first
+    # byte, a call without a response would never end.
     async def run() -> None:
         assert await time_to_fail() <= READ_PATIENCE_S + SLACK_S
 
@@ -86,8 +86,8 @@
 
 
 def test_a_silent_store_is_detected_and_called_again_within_the_limit() -> None:
-    # A read that is left to run must not delay the detection that the store, or a
-    # connection to it, does not respond.
+    # A read that is left to run must not delay the detection that the store,
+    # or a connection to it, does not respond.
     asked: list[str] = []
 
     def script(path: str) -> Pieces:
@@ -106,8 +106,8 @@
 
 
 def test_calls_without_a_response_time_out_after_any_number_of_failures() -> None:
-    # A limit that grows with each failure must be bounded: only the next call detects
-    # that the store has recovered.
+    # A limit that grows with each failure must be bounded: only the next call
+    # detects that the store has recovered.
     async def run() -> None:
         store = a_store()
         for _ in range(30):
@@ -140,8 +140,8 @@
 
 
 def test_a_store_slower_than_the_limit_is_eventually_read() -> None:
-    # With a constant limit, each call to a store that is slow for all VMs begins
-    # again, and no VM reads a change until the store is quick again.
+    # With a constant limit, each call to a store that is slow for all VMs
+    # begins again, and no VM reads a change until the store is quick again.
     store = SlowStore(slow_s=SLOW_S)
     taken_s: dict[int, float] = {}
 
@@ -177,7 +177,7 @@
 def follow_a_slow_answer(
     course: Callable[[Feed], None], *, pace: Callable[[], Pace] = Pace
 ) -> tuple[list[str], dict[int, float]]:
-    """Run `course` while a change arrives for 1.5 s; return the watches requested.
+    """Run `course` as a change arrives for 1.5 s; return the watches made.
 
     The second value maps each revision to the time at which it was received.
     """
@@ -205,17 +205,18 @@
 
 
 def test_a_peers_revision_does_not_cancel_a_watch_that_is_receiving_it() -> None:
-    # Another VM on a faster link announces the revision while its body is in transit
-    # to this one. Cancelled for that, the watch starts again at the first byte.
+    # Another VM on a faster link announces the revision while its body is in
+    # transit to this one. Cancelled for that, the watch starts again at the
+    # first byte.
     asked, taken_s = follow_a_slow_answer(lambda feed: feed.hear(6))
     assert len(asked) == 1
     assert taken_s[6] <= taken_s[5] + 1.5 + SLACK_S
 
 
 def test_a_shorter_wait_does_not_cancel_a_watch_that_is_receiving() -> None:
-    # While a change is known that is not here yet, the lease holder's messages do not
-    # cover the table. The policy then shortened the wait, which cancelled the watch
-    # that was receiving the change.
+    # While a change is known that is not here yet, the lease holder's messages
+    # do not cover the table. The policy then shortened the wait, which
+    # cancelled the watch that was receiving the change.
     wait_s = [10.0]
 
     def shorten(_: Feed) -> None:
@@ -227,9 +228,9 @@
 
 
 def test_a_change_over_a_slow_link_is_read_in_time_from_a_healthy_store() -> None:
-    # The wait shortens while the change is received. The probe that replaces the watch
-    # timed out, and so did each listing after it: only this VM's limit was exceeded,
-    # and the change never arrived.
+    # The wait shortens while the change is received. The probe that replaces
+    # the watch timed out, and so did each listing after it: only this VM's
+    # limit was exceeded, and the change never arrived.
     wait_s = [10.0]
     taken_s: dict[int, float] = {}
 
--- a/tests/test_store_pace.py
+++ b/tests/test_store_pace.py
@@ -1,4 +1,4 @@
-"""Tests of the watch policies and of the lease holder's messages that replace reads."""
+"""Tests of the watch policies, with and without messages that cover a VM."""
 
 import pytest
 
@@ -14,8 +14,8 @@
 def test_missing_messages_of_the_lease_holder_are_detected_within_the_drain_time(
     crowded: bool, drain_s: float
 ) -> None:
-    # A server leaves as the lease holder dies. A VM that relies on its last message
-    # for too long sends requests to a server that has stopped.
+    # A server leaves as the lease holder dies. A VM that relies on its last
+    # message for too long sends requests to a server that has stopped.
     last_s = 0.0
     for age_s in (step * 0.05 for step in range(200)):
         if Following(bound_s=drain_s, crowded=crowded, told_age_s=age_s).covered:
@@ -29,8 +29,8 @@
 def test_only_vms_covered_by_messages_use_relaxed_watches(
     crowded: bool, drain_s: float
 ) -> None:
-    # A relaxed watch may return a departure seconds late. No VM may rely on it for
-    # what the lease holder's messages do not cover.
+    # A relaxed watch may return a departure seconds late. No VM may rely on it
+    # for what the lease holder's messages do not cover.
     covered = Following(bound_s=drain_s, crowded=crowded, told_age_s=FRESH_S)
     uncovered = Following(bound_s=drain_s, crowded=crowded, told_age_s=drain_s)
     assert servers_pace(covered).relaxed and catalog_pace(covered).relaxed
@@ -41,8 +41,9 @@
 def test_the_lease_holders_messages_always_cover_a_large_cluster(
     bound_s: float,
 ) -> None:
-    # With 91 VMs, limits of 2 s and messages each 0.8 s, the message was too old half
-    # of the time: all VMs watched the store themselves, with 118 calls a second.
+    # With 91 VMs, limits of 2 s and messages each 0.8 s, the message was too
+    # old half of the time: all VMs watched the store themselves, with 118
+    # calls a second.
     interval_s = 0.8
     holding = Following(bound_s=bound_s, words_every_s=interval_s)
     oldest_s = catalog_pace(holding).wait_s + interval_s
@@ -62,8 +63,8 @@
 def test_configuration_changes_are_not_delayed_for_batching(
     crowded: bool, drain_s: float
 ) -> None:
-    # Versions came every third of a second. Batched for eight seconds as the servers'
-    # entries are, the next one took effect long after its deadline.
+    # Versions came every third of a second. Batched for eight seconds as the
+    # servers' entries are, the next one took effect long after its deadline.
     covered = Following(bound_s=drain_s, crowded=crowded, told_age_s=FRESH_S)
     assert catalog_pace(covered).gather_s <= 0.25
 
--- a/tests/test_store_stalls.py
+++ b/tests/test_store_stalls.py
@@ -19,9 +19,9 @@
 
 
 def test_a_response_received_while_the_vm_is_paused_counts() -> None:
-    # The VM gets no processor time for 0.7 s. The response arrived 0.3 s after the
-    # call, but was dropped as late: the call was repeated, and the store considered
-    # unavailable.
+    # The VM gets no processor time for 0.7 s. The response arrived 0.3 s after
+    # the call, but was dropped as late: the call was repeated, and the store
+    # considered unavailable.
     async def run() -> None:
         loop = asyncio.get_running_loop()
         assert isinstance(loop, StallingLoop)
--- a/tests/test_store_tables.py
+++ b/tests/test_store_tables.py
@@ -62,8 +62,9 @@
 
 
 def test_entries_that_expired_in_an_outage_get_a_grace_period() -> None:
-    # All entries expired during an outage of the store. Removed at once, they would
-    # leave every request rejected until the servers had written their entries again.
+    # All entries expired during an outage of the store. Removed at once, they
+    # would leave every request rejected until the servers had written their
+    # entries again.
     async def run() -> None:
         clock = ManualClock()
         store_tables = tables(clock)
@@ -100,8 +101,8 @@
 
 
 def test_an_older_entry_does_not_revert_a_departure() -> None:
-    # An older entry that is read after the newer one must not bring new requests to
-    # a leaving server.
+    # An older entry that is read after the newer one must not bring new
+    # requests to a leaving server.
     async def run() -> None:
         store_tables = tables(ManualClock())
         store_tables._servers_listed(listing(server("i-1", state="draining")))
@@ -124,8 +125,8 @@
 
 
 def test_an_outage_seen_only_by_the_lease_holder_counts() -> None:
-    # This VM's watch spans the whole outage and ends without an error, with the
-    # removal of every server whose entry expired meanwhile.
+    # This VM's watch spans the whole outage and ends without an error, with
+    # the removal of every server whose entry expired meanwhile.
     async def run() -> None:
         store_tables = tables(ManualClock())
         store_tables._servers_listed(listing(server("i-1")))
@@ -139,10 +140,10 @@
 
 
 def test_an_unreadable_entry_removes_only_its_server() -> None:
-    # Another program overwrites the entry of a server with bytes that are no document
-    # or hold no address. Requests went to that address, or the whole table stopped
-    # updating. The valid entries stay in use, and the server returns with its next
-    # heartbeat.
+    # Another program overwrites the entry of a server with bytes that are no
+    # document or hold no address. Requests went to that address, or the whole
+    # table stopped updating. The valid entries stay in use, and the server
+    # returns with its next heartbeat.
     async def run() -> None:
         store_tables = tables(ManualClock())
         store_tables._servers_listed(listing(server("i-1"), server("i-2")))
@@ -162,8 +163,8 @@
 
 
 def test_a_restarted_server_is_reported_once() -> None:
-    # During a network partition, an engine crashes and restarts under its name. What
-    # is known of its prompt cache belongs to the earlier process.
+    # During a network partition, an engine crashes and restarts under its
+    # name. What is known of its prompt cache belongs to the earlier process.
     async def run() -> None:
         reborn: list[str] = []
         store_tables = tables(ManualClock())
@@ -181,9 +182,10 @@
 def test_a_departure_meets_the_drain_time_while_only_the_holder_lost_the_store() -> (
     None
 ):
-    # The store rejects only the lease holder. A server then leaves by the removal of
-    # its entry, and every VM took that for an entry that expired in an outage: the
-    # server got requests for 2.2 s, longer than its drain time of 2 s.
+    # The store rejects only the lease holder. A server then leaves by the
+    # removal of its entry, and every VM took that for an entry that expired in
+    # an outage: the server got requests for 2.2 s, longer than its drain time
+    # of 2 s.
     async def run() -> None:
         clock = ManualClock()
         store_tables = tables(clock, drain_s=2.0)
@@ -204,8 +206,9 @@
 def test_the_grace_period_counts_from_when_the_entry_was_last_confirmed(
     own_outage: bool,
 ) -> None:
-    # The removal is read 1.5 s after the last store read, and may be as old as that.
-    # With a further 1.65 s of grace, the server got requests after its drain time.
+    # The removal is read 1.5 s after the last store read, and may be as old as
+    # that. With a further 1.65 s of grace, the server got requests after its
+    # drain time.
     async def run() -> None:
         clock = ManualClock()
         store_tables = tables(clock, drain_s=2.0, settle_s=3.0)
@@ -227,8 +230,9 @@
         store_tables._servers_changed(Change(revision=6, written={}, removed=removed))
         assert len(waits_s) == 1
         assert waits_s[0] <= (1.8 if own_outage else 0.5) - 0.2
-        # Nor does this VM report a current table meanwhile: other VMs would use the
-        # server until its departure is reported, one message interval later.
+        # Nor does this VM report a current table meanwhile: other VMs would
+        # use the server until its departure is reported, one message interval
+        # later.
         store_tables.servers_feed.age.note_look(clock.now_s)
         assert store_tables.vouched_age_s == 1.5
         store_tables._remove_if_absent("i-1")
--- a/tests/test_table_age.py
+++ b/tests/test_table_age.py
@@ -9,8 +9,8 @@
 
 
 def test_a_message_counts_only_if_it_covers_all_since_the_known_time() -> None:
-    # The lease holder sends the departures of the last five seconds. A VM that knows
-    # the servers as of seven seconds ago would miss those in between.
+    # The lease holder sends the departures of the last five seconds. A VM that
+    # knows the servers as of seven seconds ago would miss those in between.
     clock = ManualClock()
     age = TableAge(clock=clock, boot_clock=clock)
     age.note_look(clock.now_s)
@@ -23,8 +23,9 @@
 
 
 def test_a_table_ages_while_its_machine_is_suspended() -> None:
-    # The monotonic clock stops during a suspension. After three seconds of it, a VM
-    # considered its table as recent as before, and queued messages as just sent.
+    # The monotonic clock stops during a suspension. After three seconds of it,
+    # a VM considered its table as recent as before, and queued messages as
+    # just sent.
     clock, boot = ManualClock(), ManualClock()
     age = TableAge(clock=clock, boot_clock=boot)
     age.note_look(boot.now_s)
@@ -54,9 +55,9 @@
 def test_no_departure_before_the_known_time_is_missed(
     events: list[Event],
 ) -> None:
-    # The lease holder records all departures and sends them. Another VM receives some
-    # messages and reads the store at times. It must know every departure before the
-    # time up to which it considers its table complete.
+    # The lease holder records all departures and sends them. Another VM
+    # receives some messages and reads the store at times. It must know every
+    # departure before the time up to which it considers its table complete.
     clock = ManualClock()
     log = DepartureLog(clock=clock)
     age = TableAge(clock=clock, boot_clock=clock)
