--- a/src/rosepath/peers.py
+++ b/src/rosepath/peers.py
@@ -69,7 +69,7 @@
         self._ports = ports
         self._received: dict[str, int] = {}
         self._busy: set[str] = set()
-        self._newer_revision_known = asyncio.Event()
+        self._news = asyncio.Event()
         self.members_changed = asyncio.Event()
         self._reprobed_at_s = -1e9
         settings = ports.settings
@@ -100,7 +100,7 @@
     def publish(self, row: Row) -> None:
         """Take a row of this node's into the gossip."""
         if self.gossip.merge(row) and row.key.kind is not RowKind.LOAD:
-            self._newer_revision_known.set()
+            self._news.set()
 
     def merge(self, row: Row, *, source: str) -> None:
         """Take a neighbour's row and act on it if it is news."""
@@ -112,7 +112,7 @@
         else:
             self._ports.on_row(row)
         if row.key.kind is not RowKind.LOAD:
-            self._newer_revision_known.set()
+            self._news.set()
 
     def _merge_member(self, row: Row) -> None:
         member = decode_member(row.key.name, row.payload)
@@ -153,9 +153,9 @@
         while True:
             with suppress(TimeoutError):
                 async with asyncio.timeout(interval_s * random.uniform(0.8, 1.2)):
-                    await self._newer_revision_known.wait()
-            urgent = self._newer_revision_known.is_set()
-            self._newer_revision_known.clear()
+                    await self._news.wait()
+            urgent = self._news.is_set()
+            self._news.clear()
             self._tick(urgent=urgent)
             # A burst of news travels in one frame instead of many.
             await asyncio.sleep(0.02)
