--- a/src/rosepath/late_calls.py
+++ b/src/rosepath/late_calls.py
@@ -1,7 +1,7 @@
-"""Calls that are late: left to run beside a further one, the first answer wins.
+"""Hedge slow calls: let them run beside new ones; the first response wins.
 
-A call that is ended because its answer takes long begins again at the first byte;
-where each answer takes longer than the limit, none is ever read.
+A call that is cancelled because it is slow begins again at the first byte.
+Where every response takes longer than the limit, none would ever be read.
 """
 
 import asyncio
@@ -10,23 +10,24 @@
 from typing import TypeVar
 
 T = TypeVar("T")
-# Called when an answer begins to arrive.
+# Called when the first byte of a response arrives.
 OnBegun = Callable[[], None]
 
 
-async def first_answer(
+async def first_response(
     call: Callable[[OnBegun], Awaitable[T]],
     *,
-    late_after_s: float,
-    again_after_s: float,
-    at_once: int,
-    on_late: Callable[[], None] = lambda: None,
+    slow_after_s: float,
+    hedge_interval_s: float,
+    max_concurrent: int,
+    on_slow: Callable[[], None] = lambda: None,
 ) -> T:
-    """Return the first answer; make further calls while none has begun to arrive.
+    """Return the first response; add calls while none has begun to arrive.
 
-    The first call is late after `late_after_s`, each further one after
-    `again_after_s`; no more than `at_once` run at a time. Each is passed what to call
-    when its answer begins. Raises what the last of them raised once none is left.
+    The first call is slow after `slow_after_s`; further calls follow at
+    intervals of `hedge_interval_s`, with at most `max_concurrent` running.
+    Each call is passed a callback for the first byte of its response. Raise
+    the exception of the last running call if all fail.
     """
     running: dict[asyncio.Future[T], int] = {}
     arriving: set[int] = set()
@@ -35,12 +36,12 @@
     next_s = loop.time()
     try:
         while True:
-            if not arriving and len(running) < at_once and loop.time() >= next_s:
-                next_s = loop.time() + (again_after_s if made else late_after_s)
+            if not arriving and len(running) < max_concurrent and loop.time() >= next_s:
+                next_s = loop.time() + (hedge_interval_s if made else slow_after_s)
                 made += 1
                 on_begun = partial(arriving.add, made)
                 running[asyncio.ensure_future(call(on_begun))] = made
-            full = bool(arriving) or len(running) >= at_once
+            full = bool(arriving) or len(running) >= max_concurrent
             done, _ = await asyncio.wait(
                 running,
                 timeout=None if full else max(0.0, next_s - loop.time()),
@@ -53,7 +54,7 @@
             if done and not running:
                 return done.pop().result()
             if not done and not arriving:
-                on_late()
+                on_slow()
     finally:
         for left in running:
             left.cancel()
--- a/src/rosepath/paced_call.py
+++ b/src/rosepath/paced_call.py
@@ -1,14 +1,15 @@
-"""A call that is made at once after a pause, and once for all that follow soon."""
+"""Throttle a call: run it at once, then at most once per interval."""
 
 import asyncio
 from collections.abc import Callable
 
 
 class PacedCall:
-    """Make a call when asked to, but no two within an interval.
+    """Make a call on request, at most once per interval.
 
-    The first one after a pause is made at once; what is asked for during the
-    interval after a call is one more call at its end. An interval of 0 paces nothing.
+    A request outside an interval is served at once. All requests within the
+    interval after a call are served by one call at its end. An interval of 0
+    disables the throttling.
     """
 
     def __init__(
@@ -16,22 +17,22 @@
     ) -> None:
         self._call = call
         self._interval_s = interval_s
-        self._pausing = False
-        self._asked = False
+        self._throttled = False
+        self._call_pending = False
 
     def ask(self) -> None:
         """Make the call now, or at the end of the interval."""
-        if self._pausing:
-            self._asked = True
+        if self._throttled:
+            self._call_pending = True
             return
         interval_s = self._interval_s()
         if interval_s > 0:
-            self._pausing = True
-            asyncio.get_running_loop().call_later(interval_s, self._end_pause)
+            self._throttled = True
+            asyncio.get_running_loop().call_later(interval_s, self._end_interval)
         self._call()
 
-    def _end_pause(self) -> None:
-        self._pausing = False
-        if self._asked:
-            self._asked = False
+    def _end_interval(self) -> None:
+        self._throttled = False
+        if self._call_pending:
+            self._call_pending = False
             self.ask()
--- a/tests/test_slow_looks.py
+++ b/tests/test_slow_looks.py
@@ -1,4 +1,4 @@
-"""What becomes of requests while a look at the store takes long."""
+"""Test of requests while a read of the store is slow."""
 
 import asyncio
 import json
@@ -9,13 +9,13 @@
 
 from rosepath.feed import Pace
 from rosepath.object_store import Change, Listing, StoredObject
-from rosepath.store_tables import LOOK_LIMIT_S, StoreTables
+from rosepath.store_tables import REFRESH_TIMEOUT_S, StoreTables
 
 DRAIN_S = 3.0
 
 
 class SlowStore:
-    """Answer quickly at first, and each look after some seconds from then on."""
+    """Respond after `takes_s`, at first at once."""
 
     def __init__(self) -> None:
         self.takes_s = 0.0
@@ -42,11 +42,10 @@
         return Change(revision=3, written={}, removed=frozenset())
 
 
-def test_requests_go_on_while_a_look_takes_long() -> None:
-    # The table of servers is too old to go by, and the look that is to renew it
-    # is under way, but slow. Each request waited for it, was then found not to
-    # be wanted any more as the table was still old, and waited again: all of a
-    # VM's requests stood still until the look was answered.
+def test_requests_continue_while_a_store_read_is_slow() -> None:
+    # The server table is too old to route by, and the read that refreshes it
+    # is slow. Each request waited for it, found the table still too old, and
+    # waited again: all requests of the VM stalled until the read ended.
     async def run() -> None:
         store = SlowStore()
         tables = StoreTables(
@@ -65,7 +64,7 @@
         while loop.time() < ends_s:
             begun_s = loop.time()
             await tables.make_sure()
-            assert loop.time() - begun_s <= LOOK_LIMIT_S + 0.01
+            assert loop.time() - begun_s <= REFRESH_TIMEOUT_S + 0.01
             assert tables.sound
             await asyncio.sleep(0.1)
         following.cancel()
