--- a/src/rosepath/configuration_copies.py
+++ b/src/rosepath/configuration_copies.py
@@ -119,7 +119,7 @@
         """Return a VM with a newer revision, preferring this data centre."""
         holder = self._peers.holder()
         excluded = (
-            holder if self._peers.crowded and behind_s < HOLDER_EXCLUDED_S else None
+            holder if self._peers.large_fleet and behind_s < HOLDER_EXCLUDED_S else None
         )
         candidates = [
             peer
--- a/src/rosepath/entry_node.py
+++ b/src/rosepath/entry_node.py
@@ -245,7 +245,7 @@
         self.exchange.link.tell()
         # Beside the wait: idle connections left open longer bring requests that this
         # VM then serves in what is left of its grace.
-        giving_up = asyncio.ensure_future(self.coordinator.give_up())
+        giving_up = asyncio.ensure_future(self.coordinator.release())
         await asyncio.sleep(BALANCER_NOTICES_S)
         self.gateway.close_idle()
         await giving_up
@@ -264,14 +264,14 @@
 
     async def _step_lease(self) -> None:
         self.exchange.link.note_awake()
-        await self.coordinator.step_lease()
+        await self.coordinator.renew_or_acquire_lease()
 
     async def _plan(self) -> None:
         """Plan often while this VM may order; a term begins with a plan."""
         begun = self.coordinator.term_begun
         while True:
             await self.coordinator.orders.tick()
-            if self.coordinator.holds:
+            if self.coordinator.holds_lease:
                 await asyncio.sleep(PLAN_TICK_S)
                 continue
             with suppress(TimeoutError):
--- a/src/rosepath/lease_keeper.py
+++ b/src/rosepath/lease_keeper.py
@@ -85,7 +85,7 @@
             self._announced[name] = version
             self._announced_s[name] = now_s
 
-    def hear_resigned(self, name: str, *, version: int, acted_ago_s: float) -> None:
+    def note_resignation(self, name: str, *, version: int, acted_ago_s: float) -> None:
         """Record that the holder of a version has stopped acting."""
         known = self._resignations.get(name)
         if known is None or known.version < version:
@@ -335,7 +335,7 @@
         row.held_until_s = -1e9
         row.checked_at_s = -1e9
 
-    async def give_up(self, name: str) -> int:
+    async def release(self, name: str) -> int:
         """Release a lease; return the version of its end, or 0."""
         row = self.rows.get(name)
         if row is None or row.holder != self._me:
--- a/src/rosepath/node.py
+++ b/src/rosepath/node.py
@@ -274,7 +274,7 @@
         await self._drain()
         await self.deferred.drain()
         with suppress(StoreError):
-            await self.leases.give_up(self.lease_name)
+            await self.leases.release(self.lease_name)
         with suppress(StoreError):
             await self.shares.give_up_all()
         await self.http.close_all_connections()
--- a/src/rosepath/peer_exchange.py
+++ b/src/rosepath/peer_exchange.py
@@ -122,7 +122,7 @@
             await self._store.put(name, value, expected_version=None)
 
     def _describe(self, start: str, number: int) -> PeerState:
-        self._coordinator.note_word(number)
+        self._coordinator.note_state_sent(number)
         now_s = self._clock.monotonic_s()
         unreached = [
             server.name
@@ -130,7 +130,7 @@
             if server.unreached_s > now_s - DOWN_REPORTED_S
         ]
         holding = self._coordinator.term > 0
-        sends_totals = holding and self.peers.crowded
+        sends_totals = holding and self.peers.large_fleet
         leaving, complete_ago_s = self._tables.leaves.told()
         if not holding:
             # Only the holder, which watches the store continuously, decides
@@ -148,11 +148,11 @@
             configuration_revision=self._tables.configuration_revision,
             term=self._coordinator.term,
             lease_version=self._coordinator.lease_version,
-            heard=self._coordinator.heard,
+            holder_ack=self._coordinator.holder_ack,
             store_ago_s=self._clock.monotonic_s() - self._store.last_success_s,
             resigned_version=self._coordinator.resigned_version,
             acted_ago_s=self._coordinator.acted_ago_s,
-            bequest=self._coordinator.bequest,
+            handover=self._coordinator.handover,
             load={} if sends_totals else self._own_loads(),
             demand={} if sends_totals else self._coordinator.own_demand(),
             occupied=tuple(self._coordinator.orders.occupied)
@@ -191,7 +191,7 @@
     def _apply_state(self, state: PeerState) -> None:
         if state.totals:
             self._apply_totals(state)
-        elif not self.peers.crowded or self._coordinator.term:
+        elif not self.peers.large_fleet or self._coordinator.term:
             self._apply_load(state)
         self._tables.servers_feed.hear(state.servers_revision)
         self._tables.catalog_feed.hear(state.configuration_revision)
@@ -206,7 +206,7 @@
         self._apply_unreachable(state)
         if state.term and state.store_ago_s > STORE_FAILURE_S:
             self._tables.note_trouble()
-        self._coordinator.hear_peer(state)
+        self._coordinator.handle_peer_state(state)
 
     def _apply_ages(self, state: PeerState) -> None:
         """Apply the holder's reported ages in place of reads of the store."""
@@ -264,7 +264,7 @@
         )
         if any(changes):
             self._tables.announce()
-            if self._coordinator.term and self.peers.crowded:
+            if self._coordinator.term and self.peers.large_fleet:
                 self.tell_soon()
 
     def _apply_unreachable(self, state: PeerState) -> None:
@@ -301,7 +301,7 @@
 
     async def forget_silent(self) -> None:
         """Drop the load of VMs that exceeded the inactivity timeout."""
-        if self.peers.crowded and not self._coordinator.term:
+        if self.peers.large_fleet and not self._coordinator.term:
             return
         live = {peer.name for peer in self.peers.live()}
         for server in self._tables.fleet.servers.values():
--- a/src/rosepath/peer_link.py
+++ b/src/rosepath/peer_link.py
@@ -47,7 +47,7 @@
         self.address = address
         self._data_centre = data_centre
         # Includes the time for which the machine was suspended.
-        self._boot = boot_clock or clock
+        self._boot_clock = boot_clock or clock
         self._last_running_s = -1e9
         self._table = table
         self._clock = clock
@@ -80,7 +80,7 @@
 
     def note_awake(self) -> None:
         """Record that this process is running; call several times a second."""
-        self._last_running_s = self._boot.monotonic_s()
+        self._last_running_s = self._boot_clock.monotonic_s()
 
     def datagram_received(self, data: bytes, _: tuple[str, int]) -> None:
         match decode(data):
@@ -113,7 +113,7 @@
         older than their reported ages. Forwarded unchanged, they would claim
         that tables were read more recently than they were.
         """
-        paused_s = self._boot.monotonic_s() - self._last_running_s
+        paused_s = self._boot_clock.monotonic_s() - self._last_running_s
         if not forwarded.forward_to or paused_s > MAX_PAUSE_S:
             return
         data = encode(Forwarded(word=forwarded.word, delay_s=paused_s))
@@ -131,7 +131,7 @@
         self._number += 1
         state = self._describe(self.start, self._number)
         data = encode(state)
-        if state.term > 0 and self._table.crowded:
+        if state.term > 0 and self._table.large_fleet:
             for peer, forward_to in self._table.hops(self._data_centre, rng=self._rng):
                 message = (
                     encode(Forwarded(word=data, forward_to=forward_to))
--- a/src/rosepath/peer_messages.py
+++ b/src/rosepath/peer_messages.py
@@ -20,7 +20,7 @@
 FORWARDED_MARK = b"\x01"
 
 
-class Bequest(NamedTuple):
+class LeaseHandover(NamedTuple):
     """Direct handover of a lease to a successor.
 
     A stopping holder sends it when the store is unreachable and the lease
@@ -28,12 +28,12 @@
     fencing token.
     """
 
-    heir: str = ""
+    successor: str = ""
     version: int = 0
     fence: int = 0
 
 
-NO_BEQUEST = Bequest()
+NO_HANDOVER = LeaseHandover()
 
 
 class HeldMove(NamedTuple):
@@ -84,14 +84,14 @@
     configuration_revision: int = 0
     term: int = 0
     lease_version: int = 0
-    heard: tuple[str, int] = ("", 0)
+    holder_ack: tuple[str, int] = ("", 0)
     store_ago_s: float = NEVER_S
     known_ago_s: float = NEVER_S
     complete_ago_s: float = 0.0
     configuration_known_ago_s: float = NEVER_S
     resigned_version: int = 0
     acted_ago_s: float = 0.0
-    bequest: Bequest = NO_BEQUEST
+    handover: LeaseHandover = NO_HANDOVER
     load: Mapping[str, PeerLoad] = field(default_factory=dict)
     demand: Mapping[str, Mapping[str, ModelDemand]] = field(default_factory=dict)
     leaving: tuple[LeavingServer, ...] = ()
@@ -214,7 +214,7 @@
         "c": message.configuration_revision,
         "h": message.term,
         "e": message.lease_version,
-        "b": list(message.heard),
+        "b": list(message.holder_ack),
         "k": round(min(message.store_ago_s, NEVER_S), 2),
         "v": [
             round(min(message.known_ago_s, NEVER_S), 3),
@@ -222,7 +222,7 @@
             round(min(message.configuration_known_ago_s, NEVER_S), 3),
         ],
         "q": [message.resigned_version, round(message.acted_ago_s, 3)],
-        "i": list(message.bequest),
+        "i": list(message.handover),
         "l": _encode_loads(message.load),
         "s": _encode_loads(message.totals),
         "w": {
@@ -268,14 +268,14 @@
         configuration_revision=int(raw["c"]),
         term=int(raw["h"]),
         lease_version=int(raw["e"]),
-        heard=(str(raw["b"][0]), int(raw["b"][1])),
+        holder_ack=(str(raw["b"][0]), int(raw["b"][1])),
         store_ago_s=float(raw["k"]),
         known_ago_s=float(raw["v"][0]),
         complete_ago_s=float(raw["v"][1]),
         configuration_known_ago_s=float(raw["v"][2]),
         resigned_version=int(raw["q"][0]),
         acted_ago_s=float(raw["q"][1]),
-        bequest=Bequest(str(raw["i"][0]), int(raw["i"][1]), int(raw["i"][2])),
+        handover=LeaseHandover(str(raw["i"][0]), int(raw["i"][1]), int(raw["i"][2])),
         load=_decode_loads(raw["l"]),
         totals=_decode_loads(raw["s"]),
         demand={
--- a/src/rosepath/peer_table.py
+++ b/src/rosepath/peer_table.py
@@ -133,14 +133,14 @@
         return [peer for peer in self.peers.values() if self._live(peer)]
 
     @property
-    def crowded(self) -> bool:
+    def large_fleet(self) -> bool:
         """Return whether the fleet is too large for all-to-all messages."""
         return len(self.peers) + 1 > SMALL_FLEET_VMS
 
     def state_recipients(self, *, holding: bool, rng: random.Random) -> list[Peer]:
         """Return the VMs to which this VM's next state message is sent."""
         known = self._recipients()
-        if holding or not self.crowded:
+        if holding or not self.large_fleet:
             return known
         holder = self.holder() or self.peers.get(self.named_holder)
         chosen = rng.sample(known, min(len(known), SAMPLED_VMS))
@@ -188,14 +188,14 @@
             default=None,
         )
 
-    def heard_holder(self) -> tuple[str, int]:
+    def last_holder_message(self) -> tuple[str, int]:
         """Return the start and number of the holder's last message."""
         holder = self.holder()
         if holder is None or holder.state is None:
             return "", 0
         return holder.state.start, holder.state.number
 
-    def backers(self) -> list[str]:
+    def required_ackers(self) -> list[str]:
         """Return the VMs that might acquire the lease.
 
         VMs that are stopping are left out, and so are VMs that have sent
@@ -216,7 +216,7 @@
         ]
 
     @property
-    def holder_heard_s(self) -> float:
+    def holder_message_at_s(self) -> float:
         """Return when a VM that claims the lease last sent a message."""
         times_s = (peer.last_message_s for peer in self._lease_claimants.values())
         return max(times_s, default=-1e9)
@@ -229,7 +229,7 @@
         """
         now_s = self._clock.monotonic_s()
         after_s = CUT_OFF_LARGE_FLEET_S
-        if not self.crowded:
+        if not self.large_fleet:
             after_s = CUT_OFF_INTERVALS * STATE_INTERVAL_S
         return {
             name
@@ -256,7 +256,7 @@
     @property
     def interval_s(self) -> float:
         """Return the interval between state messages of each VM."""
-        return LARGE_FLEET_INTERVAL_S if self.crowded else STATE_INTERVAL_S
+        return LARGE_FLEET_INTERVAL_S if self.large_fleet else STATE_INTERVAL_S
 
     def _recipients(self) -> list[Peer]:
         limit_s = self._clock.monotonic_s() - FORGET_AFTER_S
--- a/src/rosepath/placement_coordinator.py
+++ b/src/rosepath/placement_coordinator.py
@@ -21,7 +21,7 @@
 from rosepath.order_dispatcher import DispatcherPorts, OrderDispatcher
 from rosepath.paced_call import PacedCall
 from rosepath.peer_link import PeerLink
-from rosepath.peer_messages import AdapterAsk, Bequest, PeerState
+from rosepath.peer_messages import AdapterAsk, LeaseHandover, PeerState
 from rosepath.peer_table import PeerTable
 from rosepath.prompt_caches import PromptCaches
 from rosepath.rendezvous import ranked
@@ -37,13 +37,13 @@
 # fleet, mean that the holder is gone. Each VM in rank order waits one stagger
 # longer than the one before, so that only one reads.
 HOLDER_SILENCE_S = 1.3
-HOLDER_SILENCE_CROWDED_S = 3.0
+HOLDER_SILENCE_LARGE_FLEET_S = 3.0
 TAKEOVER_STAGGER_S = 0.4
 # In a large fleet, a state message is long and goes to a whole data centre. If
 # one were sent for each model loaded or unloaded, they would fill the holder's
 # link at the start of a term, and its lease renewals and orders would time
 # out. Four a second leave most of a 10 Mbit/s link free.
-MOVE_INTERVAL_CROWDED_S = 0.25
+MOVE_INTERVAL_LARGE_FLEET_S = 0.25
 NOT_EXTENDED_S = -1e9
 # Limits on the time that a stopping holder takes to finish its swaps, in
 # seconds and as a share of its grace period. Most unloads wait less than this
@@ -90,7 +90,7 @@
         self._holder_silent_since_s = clock.monotonic_s()
         self.link: PeerLink | None = None
         self.resigned_version = 0
-        self.bequest = Bequest()
+        self.handover = LeaseHandover()
         self._handover_accepted_s = -1e9
         self.moves = HeldMoves(
             clock=clock,
@@ -133,7 +133,7 @@
                 engines=engines,
                 fleet=fleet,
                 catalog=catalog,
-                may_order=lambda: self.holds,
+                may_order=lambda: self.holds_lease,
                 fence=lambda: self.leases.fence(LEASE_NAME),
                 demand=self.all_demand,
                 told_every_s=lambda: peers.interval_s,
@@ -142,7 +142,7 @@
         )
 
     @property
-    def holds(self) -> bool:
+    def holds_lease(self) -> bool:
         """Tell whether this VM holds the placement lease and may order now."""
         # Read for each datagram, so the acknowledgements are only looked
         # through while the lease could not be renewed.
@@ -167,7 +167,7 @@
         A successor announces it before it may act, as the others acknowledge
         only a VM that does.
         """
-        if self.holds:
+        if self.holds_lease:
             return True
         accepted_ago_s = self._boot_clock.monotonic_s() - self._handover_accepted_s
         mine = self.leases.holder(LEASE_NAME) == self._me
@@ -179,33 +179,33 @@
         return self.orders.sender.acted_ago_s
 
     @property
-    def heard(self) -> tuple[str, int]:
+    def holder_ack(self) -> tuple[str, int]:
         """Return the start and number of the holder's message to acknowledge.
 
         A VM that has acquired the lease itself acknowledges none.
         """
         if self.leases.holder(LEASE_NAME) == self._me:
             return "", 0
-        return self._peers.heard_holder()
+        return self._peers.last_holder_message()
 
-    def note_word(self, number: int) -> None:
+    def note_state_sent(self, number: int) -> None:
         """Record that this VM sends a numbered state message."""
         self._extension.note_sent(number, now_s=self._boot_clock.monotonic_s())
 
-    def hear_peer(self, state: PeerState) -> None:
+    def handle_peer_state(self, state: PeerState) -> None:
         """Apply the state message of another VM to the lease and the fleet."""
         self.moves.hear(state)
-        start, number = state.heard
+        start, number = state.holder_ack
         if self.link is not None and start == self.link.start:
             self._extension.note_ack(state.entry_vm, number)
         if state.term:
             self._arrivals.hear(state.arrivals, now_s=self._clock.monotonic_s())
             self.leases.note_announcement(LEASE_NAME, version=state.lease_version)
-        if state.bequest.heir == self._me and not self._stopping():
+        if state.handover.successor == self._me and not self._stopping():
             self._accept_handover(state)
         if state.resigned_version:
             self._holder_silent_since_s = -1e9
-            self.leases.hear_resigned(
+            self.leases.note_resignation(
                 LEASE_NAME,
                 version=state.resigned_version,
                 acted_ago_s=state.acted_ago_s,
@@ -213,11 +213,11 @@
 
     # Demand
 
-    def note_asked(self, service: str, prompt: Prompt) -> None:
+    def note_request_received(self, service: str, prompt: Prompt) -> None:
         """Count a request that arrived for a model."""
         self.demand.ask(service, prompt, now_s=self._clock.monotonic_s())
 
-    def note_request(self, service: str, prompt: Prompt, *, unread_tokens: int) -> None:
+    def note_prefill_work(self, service: str, prompt: Prompt, *, unread_tokens: int) -> None:
         """Add the prompt tokens that an engine must read for a request."""
         self.demand.note(
             service,
@@ -250,15 +250,15 @@
     def model_due_s(self, model: str) -> float | None:
         """Return when a model will be loaded on an engine, if known."""
         now_s = self._clock.monotonic_s()
-        if self.holds:
+        if self.holds_lease:
             self._arrivals.hear(self.orders.arrivals, now_s=now_s)
         return self._arrivals.due_s(model, now_s=now_s)
 
     # The lease
 
-    async def step_lease(self) -> None:
+    async def renew_or_acquire_lease(self) -> None:
         """Renew the lease, or try to acquire it if its holder is silent."""
-        last_message_s = max(self._holder_silent_since_s, self._peers.holder_heard_s)
+        last_message_s = max(self._holder_silent_since_s, self._peers.holder_message_at_s)
         silent_s = self._clock.monotonic_s() - last_message_s
         # The first read is immediate: a holder that was killed and restarted
         # finds its own lease and need not wait for it to expire.
@@ -275,12 +275,12 @@
             # The lease is released next, or handed to a successor; a
             # resignation here would leave it without one.
             return
-        if self._was_holder and (not self.holds or self._store_fails_only_here()):
+        if self._was_holder and (not self.holds_lease or self._store_fails_only_here()):
             # Renewals fail, but the others may still receive this VM's
             # messages.
             self.resigned_version = self.leases.resign(LEASE_NAME)
             self._send_state()
-        elif self.holds:
+        elif self.holds_lease:
             self.resigned_version = 0
         elif self.leases.own_lease_expired(LEASE_NAME) and not (
             self._claims_lease or self._stopping()
@@ -288,15 +288,15 @@
             # A successor that not all others acknowledged in time. The lease
             # is acquired through the store once that answers again.
             self.leases.resign(LEASE_NAME)
-        if self.holds and not self._was_holder:
+        if self.holds_lease and not self._was_holder:
             self.term_begun.set()
-        self._was_holder = self.holds
+        self._was_holder = self.holds_lease
 
     def _accept_handover(self, state: PeerState) -> None:
         if self.leases.accept_handover(
             LEASE_NAME,
-            version=state.bequest.version,
-            fence=state.bequest.fence,
+            version=state.handover.version,
+            fence=state.handover.fence,
             acted_ago_s=state.acted_ago_s,
         ):
             self._handover_accepted_s = self._boot_clock.monotonic_s()
@@ -311,9 +311,9 @@
         if self.leases.holder(LEASE_NAME) != self._me:
             return NOT_EXTENDED_S
         stopped_acting = self._stopping() and not self._finishing_orders
-        if stopped_acting or self._peers.crowded:
+        if stopped_acting or self._peers.large_fleet:
             return NOT_EXTENDED_S
-        return self._extension.extended_until_s(self._peers.backers())
+        return self._extension.extended_until_s(self._peers.required_ackers())
 
     def _store_fails_only_here(self) -> bool:
         """Tell whether the store fails for this VM but answers another.
@@ -331,7 +331,7 @@
         )
 
     def _move_interval_s(self) -> float:
-        return MOVE_INTERVAL_CROWDED_S if self._peers.crowded else 0.0
+        return MOVE_INTERVAL_LARGE_FLEET_S if self._peers.large_fleet else 0.0
 
     def _send_state(self) -> None:
         if self.link is not None:
@@ -342,7 +342,7 @@
         # Ranked among those, many VMs would come first and read the lease at
         # once.
         known = list(self._peers.peers.values())
-        others = known if self._peers.crowded else self._peers.live()
+        others = known if self._peers.large_fleet else self._peers.live()
         names = [self._me]
         names += [
             peer.name
@@ -351,11 +351,11 @@
         ]
         rank = ranked(LEASE_NAME, names).index(self._me)
         silent_s = HOLDER_SILENCE_S
-        if self._peers.crowded:
-            silent_s = HOLDER_SILENCE_CROWDED_S
+        if self._peers.large_fleet:
+            silent_s = HOLDER_SILENCE_LARGE_FLEET_S
         return silent_s + TAKEOVER_STAGGER_S * rank
 
-    async def give_up(self) -> None:
+    async def release(self) -> None:
         """Finish the orders and release the lease before a planned stop."""
         self._finishing_orders = True
         try:
@@ -368,10 +368,10 @@
         if held and self.leases.holder(LEASE_NAME) == self._me:
             # The store did not confirm the release, so one VM takes over
             # directly.
-            self.bequest = Bequest(
+            self.handover = LeaseHandover(
                 self._choose_successor(), self.resigned_version, fence
             )
-            _log.info("lease_bequeathed", step="lease", peer=self.bequest.heir)
+            _log.info("lease_bequeathed", step="lease", peer=self.handover.successor)
         self._send_state()
 
     async def _release_in_store(self) -> int:
@@ -382,7 +382,7 @@
         """
         try:
             async with asyncio.timeout(RELEASE_TIMEOUT_S):
-                return await self.leases.give_up(LEASE_NAME)
+                return await self.leases.release(LEASE_NAME)
         except TimeoutError:
             _log.warning(
                 "lease_not_handed_back", step="lease", after_s=RELEASE_TIMEOUT_S
@@ -403,7 +403,7 @@
         self, service: str, server: BackendServer, prompt: Prompt, *, limit_s: float
     ) -> bool:
         """Load an adapter onto an engine by an order or through the holder."""
-        if self.holds:
+        if self.holds_lease:
             return await self.orders.ensure_adapter(
                 service, server.name, prompt.model, prompt.adapter
             )
@@ -425,6 +425,6 @@
 
     async def answer(self, ask: AdapterAsk) -> bool:
         """Load an adapter that another VM asks for; true once it is loaded."""
-        return self.holds and await self.orders.ensure_adapter(
+        return self.holds_lease and await self.orders.ensure_adapter(
             ask.service, ask.server, ask.model, ask.adapter
         )
--- a/src/rosepath/request_context.py
+++ b/src/rosepath/request_context.py
@@ -34,9 +34,9 @@
 class ModelPort(Protocol):
     """Record demand for models, and load adapters onto engines."""
 
-    def note_asked(self, service: str, prompt: Prompt) -> None: ...
+    def note_request_received(self, service: str, prompt: Prompt) -> None: ...
 
-    def note_request(
+    def note_prefill_work(
         self, service: str, prompt: Prompt, *, unread_tokens: int
     ) -> None: ...
 
--- a/src/rosepath/server_picker.py
+++ b/src/rosepath/server_picker.py
@@ -51,7 +51,7 @@
         wait_until_s = self._wait_limit_s(context, started_s)
         if context.service.engine is not None:
             if context.call.prompt is not None and not context.seen:
-                self._ports.models.note_asked(context.service.name, context.call.prompt)
+                self._ports.models.note_request_received(context.service.name, context.call.prompt)
         with self._counted_waiting(context) as count_waiting:
             return await self._choose_until(
                 context, started_s, wait_until_s, count_waiting
@@ -209,7 +209,7 @@
         if choice is None:
             return None
         ports.caches.note_read(choice.server, prompt)
-        ports.models.note_request(
+        ports.models.note_prefill_work(
             context.service.name, prompt, unread_tokens=choice.unread_tokens
         )
         context.unread_tokens = choice.unread_tokens
--- a/src/rosepath/table_age.py
+++ b/src/rosepath/table_age.py
@@ -17,14 +17,14 @@
 
     def __init__(self, *, clock: Clock, boot_clock: Clock) -> None:
         self._clock = clock
-        self._boot = boot_clock
+        self._boot_clock = boot_clock
         self._suspended_s = self._suspension_s()
         self.last_read_s = NEVER_S
         self._told_s = NEVER_S
 
     def now_s(self) -> float:
         """Return the time on the clock that the age is measured by."""
-        return self._boot.monotonic_s()
+        return self._boot_clock.monotonic_s()
 
     @property
     def known_s(self) -> float:
@@ -61,4 +61,4 @@
             self._told_s = max(self._told_s, now_s - known_ago_s)
 
     def _suspension_s(self) -> float:
-        return self._boot.monotonic_s() - self._clock.monotonic_s()
+        return self._boot_clock.monotonic_s() - self._clock.monotonic_s()
--- a/tests/entry_harness.py
+++ b/tests/entry_harness.py
@@ -95,10 +95,10 @@
 class NoModels:
     """Order nothing."""
 
-    def note_asked(self, *_: Any) -> None:
+    def note_request_received(self, *_: Any) -> None:
         pass
 
-    def note_request(self, *_: Any, **__: Any) -> None:
+    def note_prefill_work(self, *_: Any, **__: Any) -> None:
         return
 
     def note_waiting(self, *_: Any, **__: Any) -> None:
--- a/tests/test_holder_words.py
+++ b/tests/test_holder_words.py
@@ -14,7 +14,7 @@
 from rosepath.peer_messages import Forwarded, PeerState, decode
 from rosepath.peer_table import PeerTable
 from rosepath.placement_coordinator import (
-    MOVE_INTERVAL_CROWDED_S,
+    MOVE_INTERVAL_LARGE_FLEET_S,
     PlacementCoordinator,
 )
 from rosepath.prompt_caches import PromptCaches
@@ -138,7 +138,7 @@
         for name in ("i-1", "i-2"):
             holder.moves.note(name, "m1", "", True)
             assert transport.moved_servers[-1] == name
-            await asyncio.sleep(MOVE_INTERVAL_CROWDED_S + 0.01)
+            await asyncio.sleep(MOVE_INTERVAL_LARGE_FLEET_S + 0.01)
             assert transport.moved_servers == []
 
     with asyncio.Runner(loop_factory=VirtualLoop) as runner:
@@ -155,7 +155,7 @@
         for name in ("i-2", "i-3"):
             holder.moves.note(name, "m1", "", True)
             assert transport.moved_servers == []
-        await asyncio.sleep(MOVE_INTERVAL_CROWDED_S + 0.01)
+        await asyncio.sleep(MOVE_INTERVAL_LARGE_FLEET_S + 0.01)
         assert transport.moved_servers == ["i-1", "i-2", "i-3"]
 
     with asyncio.Runner(loop_factory=VirtualLoop) as runner:
--- a/tests/test_lease_backing.py
+++ b/tests/test_lease_backing.py
@@ -42,7 +42,7 @@
 
     def receive(self, state: Any) -> None:
         if self.peers.take(state):
-            self.coordinator.hear_peer(state)
+            self.coordinator.handle_peer_state(state)
 
 
 class Store(FakePlatform):
@@ -50,7 +50,7 @@
 
     def __init__(self) -> None:
         super().__init__()
-        self.unreached_by: set[str] = set()
+        self.unreachable_from: set[str] = set()
         # Runs once, before the next write is applied.
         self.before_write: Callable[[], Awaitable[None]] | None = None
         # Runs once, after the next write is applied and before its reply.
@@ -67,14 +67,14 @@
         self._store, self._name = store, name
 
     def __getattr__(self, attribute: str) -> Any:
-        self._store.down = self._name in self._store.unreached_by
+        self._store.down = self._name in self._store.unreachable_from
         return getattr(self._store, attribute)
 
     async def put(self, name: str, value: bytes, *, expected_version: int) -> int:
         callback, self._store.before_write = self._store.before_write, None
         if callback is not None:
             await callback()
-        self._store.down = self._name in self._store.unreached_by
+        self._store.down = self._name in self._store.unreachable_from
         version = await self._store.put(name, value, expected_version=expected_version)
         callback, self._store.after_write = self._store.after_write, None
         if callback is not None:
@@ -107,15 +107,15 @@
 
 def send_state(node: Node, others: list[Node]) -> None:
     node.number += 1
-    node.coordinator.note_word(node.number)
+    node.coordinator.note_state_sent(node.number)
     state = replace(
         a_peer_state(node.name, number=node.number, term=node.coordinator.term),
         start=node.start,
         lease_version=node.coordinator.lease_version,
-        heard=node.coordinator.heard,
+        holder_ack=node.coordinator.holder_ack,
         stopping=node.stopping,
         resigned_version=node.coordinator.resigned_version,
-        bequest=node.coordinator.bequest,
+        handover=node.coordinator.handover,
         acted_ago_s=node.coordinator.acted_ago_s,
     )
     for other in others:
@@ -127,22 +127,22 @@
     return [a_node(name, store, clock) for name in NAMES], store, clock
 
 
-async def play(
+async def run_nodes(
     nodes: list[Node],
     clock: ManualClock,
     duration_s: float,
     *,
-    speaking: Callable[[Node], bool] = lambda _: True,
+    sends_state: Callable[[Node], bool] = lambda _: True,
 ) -> None:
     """Let the nodes step and send their state every 0.15 s."""
     end_s = clock.monotonic_s() + duration_s
     while clock.monotonic_s() < end_s:
         clock.advance(0.15)
         for node in nodes:
-            await node.coordinator.step_lease()
-            if speaking(node):
+            await node.coordinator.renew_or_acquire_lease()
+            if sends_state(node):
                 send_state(node, [other for other in nodes if other is not node])
-        assert sum(node.coordinator.holds for node in nodes) <= 1
+        assert sum(node.coordinator.holds_lease for node in nodes) <= 1
 
 
 def test_a_store_outage_does_not_end_the_holders_lease() -> None:
@@ -151,15 +151,15 @@
     # it, no models are ordered until the store is back.
     async def run() -> None:
         nodes, store, clock = three_nodes()
-        await play(nodes, clock, 3.0)
-        holder = next(node for node in nodes if node.coordinator.holds)
-        store.unreached_by = set(NAMES)
+        await run_nodes(nodes, clock, 3.0)
+        holder = next(node for node in nodes if node.coordinator.holds_lease)
+        store.unreachable_from = set(NAMES)
         for _ in range(60):
-            await play(nodes, clock, 0.15)
-            assert holder.coordinator.holds
-        store.unreached_by = set()
-        await play(nodes, clock, 3.0)
-        assert holder.coordinator.holds
+            await run_nodes(nodes, clock, 0.15)
+            assert holder.coordinator.holds_lease
+        store.unreachable_from = set()
+        await run_nodes(nodes, clock, 3.0)
+        assert holder.coordinator.holds_lease
         assert holder.coordinator.term == 1000
 
     asyncio.run(run())
@@ -169,12 +169,12 @@
     # The holder cannot reach the store, and its state messages are lost.
     async def run() -> None:
         nodes, store, clock = three_nodes()
-        await play(nodes, clock, 3.0)
-        holder = next(node for node in nodes if node.coordinator.holds)
-        store.unreached_by = {holder.name}
-        await play(nodes, clock, 8.0, speaking=lambda node: node is not holder)
-        assert not holder.coordinator.holds
-        assert sum(node.coordinator.holds for node in nodes) == 1
+        await run_nodes(nodes, clock, 3.0)
+        holder = next(node for node in nodes if node.coordinator.holds_lease)
+        store.unreachable_from = {holder.name}
+        await run_nodes(nodes, clock, 8.0, sends_state=lambda node: node is not holder)
+        assert not holder.coordinator.holds_lease
+        assert sum(node.coordinator.holds_lease for node in nodes) == 1
 
     asyncio.run(run())
 
@@ -182,11 +182,11 @@
 def test_a_dead_holder_is_replaced_within_four_seconds() -> None:
     async def run() -> None:
         nodes, _, clock = three_nodes()
-        await play(nodes, clock, 3.0)
-        holder = next(node for node in nodes if node.coordinator.holds)
+        await run_nodes(nodes, clock, 3.0)
+        holder = next(node for node in nodes if node.coordinator.holds_lease)
         left = [node for node in nodes if node is not holder]
-        await play(left, clock, 4.0)
-        assert sum(node.coordinator.holds for node in left) == 1
+        await run_nodes(left, clock, 4.0)
+        assert sum(node.coordinator.holds_lease for node in left) == 1
 
     asyncio.run(run())
 
@@ -197,22 +197,22 @@
     # store is back. The holder's own loop runs on until the write fails.
     async def run() -> None:
         nodes, store, clock = three_nodes()
-        await play(nodes, clock, 3.0)
-        holder = next(node for node in nodes if node.coordinator.holds)
-        store.unreached_by = set(NAMES)
-        await play(nodes, clock, 1.0)
+        await run_nodes(nodes, clock, 3.0)
+        holder = next(node for node in nodes if node.coordinator.holds_lease)
+        store.unreachable_from = set(NAMES)
+        await run_nodes(nodes, clock, 1.0)
         holder.stopping = True
-        store.before_write = holder.coordinator.step_lease
-        await holder.coordinator.give_up()
-        await play(nodes, clock, 2.0)
-        heir = next(node for node in nodes if node.coordinator.holds)
-        assert heir is not holder
-        assert heir.coordinator.term == 1001
-        await play(nodes, clock, 4.0)
-        assert heir.coordinator.holds
-        store.unreached_by = set()
-        await play(nodes, clock, 3.0)
-        assert heir.coordinator.holds and heir.coordinator.term == 1001
+        store.before_write = holder.coordinator.renew_or_acquire_lease
+        await holder.coordinator.release()
+        await run_nodes(nodes, clock, 2.0)
+        successor = next(node for node in nodes if node.coordinator.holds_lease)
+        assert successor is not holder
+        assert successor.coordinator.term == 1001
+        await run_nodes(nodes, clock, 4.0)
+        assert successor.coordinator.holds_lease
+        store.unreachable_from = set()
+        await run_nodes(nodes, clock, 3.0)
+        assert successor.coordinator.holds_lease and successor.coordinator.term == 1001
 
     asyncio.run(run())
 
@@ -231,8 +231,8 @@
     async def run() -> None:
         loop = asyncio.get_running_loop()
         nodes, store, clock = three_nodes()
-        await play(nodes, clock, 3.0)
-        holder = next(node for node in nodes if node.coordinator.holds)
+        await run_nodes(nodes, clock, 3.0)
+        holder = next(node for node in nodes if node.coordinator.holds_lease)
         others = [node for node in nodes if node is not holder]
         holder.stopping = True
         if applied:
@@ -240,14 +240,14 @@
         else:
             store.before_write = take_a_minute
         begun_s = loop.time()
-        await holder.coordinator.give_up()
+        await holder.coordinator.release()
         assert loop.time() - begun_s < RELEASE_TIMEOUT_S + 0.1
-        assert holder.coordinator.bequest.heir in {node.name for node in others}
+        assert holder.coordinator.handover.successor in {node.name for node in others}
         for _ in range(40):
-            await play(nodes, clock, 0.15)
-            assert not holder.coordinator.holds
+            await run_nodes(nodes, clock, 0.15)
+            assert not holder.coordinator.holds_lease
             assert not holder.coordinator.orders.sender.may_order()
-        assert sum(node.coordinator.holds for node in others) == 1
+        assert sum(node.coordinator.holds_lease for node in others) == 1
 
     with asyncio.Runner(loop_factory=VirtualLoop) as runner:
         runner.run(run())
@@ -259,25 +259,25 @@
     # that follows an unload; if its loop resigned, it would name no successor.
     async def run() -> None:
         nodes, store, clock = three_nodes()
-        await play(nodes, clock, 3.0)
-        holder = next(node for node in nodes if node.coordinator.holds)
-        store.unreached_by = set(NAMES)
-        await play(nodes, clock, 3.0)
+        await run_nodes(nodes, clock, 3.0)
+        holder = next(node for node in nodes if node.coordinator.holds_lease)
+        store.unreachable_from = set(NAMES)
+        await run_nodes(nodes, clock, 3.0)
         holder.stopping = True
         held: list[bool] = []
 
         async def finish(limit_s: float) -> None:
-            await play(nodes, clock, limit_s)
-            held.append(holder.coordinator.holds)
+            await run_nodes(nodes, clock, limit_s)
+            held.append(holder.coordinator.holds_lease)
 
         holder.coordinator.orders.finish = finish  # type: ignore[method-assign]
-        await holder.coordinator.give_up()
+        await holder.coordinator.release()
         assert held == [True]
-        assert not holder.coordinator.holds
-        await play(nodes, clock, 2.0)
-        heir = next(node for node in nodes if node.coordinator.holds)
-        assert heir is not holder
-        assert heir.coordinator.term == 1001
+        assert not holder.coordinator.holds_lease
+        await run_nodes(nodes, clock, 2.0)
+        successor = next(node for node in nodes if node.coordinator.holds_lease)
+        assert successor is not holder
+        assert successor.coordinator.term == 1001
 
     asyncio.run(run())
 
@@ -288,18 +288,18 @@
     # version that it announces as resigned.
     async def run() -> None:
         nodes, store, clock = three_nodes()
-        await play(nodes, clock, 3.0)
-        holder = next(node for node in nodes if node.coordinator.holds)
-        store.unreached_by = set(NAMES)
-        await play(nodes, clock, 3.0)
+        await run_nodes(nodes, clock, 3.0)
+        holder = next(node for node in nodes if node.coordinator.holds_lease)
+        store.unreachable_from = set(NAMES)
+        await run_nodes(nodes, clock, 3.0)
         holder.stopping = True
 
         async def finish(limit_s: float) -> None:
-            await play(nodes, clock, limit_s, speaking=lambda node: node is holder)
-            assert not holder.coordinator.holds
+            await run_nodes(nodes, clock, limit_s, sends_state=lambda node: node is holder)
+            assert not holder.coordinator.holds_lease
 
         holder.coordinator.orders.finish = finish  # type: ignore[method-assign]
-        await holder.coordinator.give_up()
+        await holder.coordinator.release()
         assert holder.coordinator.resigned_version
 
     asyncio.run(run())
@@ -312,18 +312,18 @@
     # holders under one.
     async def run() -> None:
         nodes, store, clock = three_nodes()
-        await play(nodes, clock, 3.0)
-        holder = next(node for node in nodes if node.coordinator.holds)
-        store.unreached_by = set(NAMES)
+        await run_nodes(nodes, clock, 3.0)
+        holder = next(node for node in nodes if node.coordinator.holds_lease)
+        store.unreachable_from = set(NAMES)
         holder.stopping = True
-        await holder.coordinator.give_up()
-        await play(nodes, clock, 2.0)
-        heir = next(node for node in nodes if node.coordinator.holds)
-        fence = heir.coordinator.term
-        last = next(node for node in nodes if node not in (holder, heir))
-        store.unreached_by = set()
+        await holder.coordinator.release()
+        await run_nodes(nodes, clock, 2.0)
+        successor = next(node for node in nodes if node.coordinator.holds_lease)
+        fence = successor.coordinator.term
+        last = next(node for node in nodes if node not in (holder, successor))
+        store.unreachable_from = set()
         restarted = a_node(last.name, store, clock)
-        await play([restarted], clock, 5.0)
+        await run_nodes([restarted], clock, 5.0)
         assert restarted.coordinator.term > fence
 
     asyncio.run(run())
@@ -334,14 +334,14 @@
     # still required, the holder's lease would end two seconds into the outage.
     async def run() -> None:
         nodes, store, clock = three_nodes()
-        await play(nodes, clock, 3.0)
-        holder = next(node for node in nodes if node.coordinator.holds)
+        await run_nodes(nodes, clock, 3.0)
+        holder = next(node for node in nodes if node.coordinator.holds_lease)
         gone = next(node for node in nodes if node is not holder)
         left = [node for node in nodes if node is not gone]
-        await play(left, clock, 7.0)
-        store.unreached_by = set(NAMES)
-        await play(left, clock, 6.0)
-        assert holder.coordinator.holds
+        await run_nodes(left, clock, 7.0)
+        store.unreachable_from = set(NAMES)
+        await run_nodes(left, clock, 6.0)
+        assert holder.coordinator.holds_lease
 
     asyncio.run(run())
 
@@ -349,18 +349,18 @@
 def test_a_successor_without_all_acknowledgements_drops_the_lease() -> None:
     async def run() -> None:
         nodes, store, clock = three_nodes()
-        await play(nodes, clock, 3.0)
-        holder = next(node for node in nodes if node.coordinator.holds)
-        store.unreached_by = set(NAMES)
+        await run_nodes(nodes, clock, 3.0)
+        holder = next(node for node in nodes if node.coordinator.holds_lease)
+        store.unreachable_from = set(NAMES)
         holder.stopping = True
-        await holder.coordinator.give_up()
-        heir = next(n for n in nodes if n.name == holder.coordinator.bequest.heir)
-        lost = next(n for n in nodes if n not in (holder, heir))
-        await play(nodes, clock, 4.0, speaking=lambda node: node is not lost)
-        assert not any(node.coordinator.holds for node in nodes)
-        store.unreached_by = set()
-        await play([heir, lost], clock, 6.0)
-        assert sum(node.coordinator.holds for node in (heir, lost)) == 1
+        await holder.coordinator.release()
+        successor = next(n for n in nodes if n.name == holder.coordinator.handover.successor)
+        lost = next(n for n in nodes if n not in (holder, successor))
+        await run_nodes(nodes, clock, 4.0, sends_state=lambda node: node is not lost)
+        assert not any(node.coordinator.holds_lease for node in nodes)
+        store.unreachable_from = set()
+        await run_nodes([successor, lost], clock, 6.0)
+        assert sum(node.coordinator.holds_lease for node in (successor, lost)) == 1
 
     asyncio.run(run())
 
@@ -393,23 +393,23 @@
     # reach the store, and one VM stops, with or without finishing swaps first.
     async def run() -> None:
         nodes, store, clock = three_nodes()
-        await play(nodes, clock, 1.0)
+        await run_nodes(nodes, clock, 1.0)
         for silent, unreachable, stopped, fault_s in faults:
             for node in nodes:
                 node.stopping = node.name == stopped
                 if node.stopping:
                     node.coordinator.orders.finish = (  # type: ignore[method-assign]
-                        lambda _, silent=silent: play(
-                            nodes, clock, finish_s, speaking=lambda n: n.name != silent
+                        lambda _, silent=silent: run_nodes(
+                            nodes, clock, finish_s, sends_state=lambda n: n.name != silent
                         )
                     )
-                    await node.coordinator.give_up()
-            store.unreached_by = set(NAMES) if unreachable == "all" else {unreachable}
-            await play(
+                    await node.coordinator.release()
+            store.unreachable_from = set(NAMES) if unreachable == "all" else {unreachable}
+            await run_nodes(
                 nodes,
                 clock,
                 fault_s,
-                speaking=lambda node, silent=silent: node.name != silent,
+                sends_state=lambda node, silent=silent: node.name != silent,
             )
 
     asyncio.run(run())
--- a/tests/test_leases.py
+++ b/tests/test_leases.py
@@ -43,7 +43,7 @@
             if event == "lose":
                 platform.lose_replies("leases/l", 1)
             if event == "give_up":
-                await keepers[name].give_up("l")
+                await keepers[name].release("l")
             else:
                 await keepers[name].step("l", wanted=True)
             assert sum(keeper.valid("l") for keeper in keepers.values()) <= 1
@@ -72,7 +72,7 @@
         clock = ManualClock()
         keepers = three_keepers(FakePlatform(), clock)
         await keepers["a"].step("l", wanted=True)
-        await keepers["a"].give_up("l")
+        await keepers["a"].release("l")
         await keepers["b"].step("l", wanted=True)
         assert keepers["b"].valid("l")
         assert keepers["b"].term("l") == 2
--- a/tests/test_order_arrival.py
+++ b/tests/test_order_arrival.py
@@ -10,7 +10,7 @@
 
 from entry_builders import an_entry
 from fakes import FakePlatform
-from test_lease_backing import NAMES, Node, play, three_nodes
+from test_lease_backing import NAMES, Node, run_nodes, three_nodes
 from test_order_dispatcher import FakeEngine, a_dispatcher
 
 from rosepath.clock import ManualClock
@@ -192,7 +192,7 @@
     )
     if next_held_before:
         await second.step("l", wanted=True)
-        await second.give_up("l")
+        await second.release("l")
         clock.advance(10.0)
     while not first.valid("l"):
         await first.step("l", wanted=True)
@@ -201,7 +201,7 @@
     clock.advance(1.0)
     acted_s = clock.monotonic_s()
     version = first.resign("l")
-    second.hear_resigned("l", version=version, acted_ago_s=0.0)
+    second.note_resignation("l", version=version, acted_ago_s=0.0)
     platform.lose_both = True
     while not second.valid("l"):
         await second.step("l", wanted=True)
@@ -236,22 +236,22 @@
     # store is back, 0.3 s after the holder's last possible order.
     async def run() -> None:
         nodes, store, clock = three_nodes()
-        await play(nodes, clock, 3.0)
-        holder = next(node for node in nodes if node.coordinator.holds)
+        await run_nodes(nodes, clock, 3.0)
+        holder = next(node for node in nodes if node.coordinator.holds_lease)
         others = [node for node in nodes if node is not holder]
-        store.unreached_by = set(NAMES)
-        await play(nodes, clock, 4.0)
-        assert holder.coordinator.holds
+        store.unreachable_from = set(NAMES)
+        await run_nodes(nodes, clock, 4.0)
+        assert holder.coordinator.holds_lease
         acted_s = clock.monotonic_s()
-        store.unreached_by = {holder.name}
+        store.unreachable_from = {holder.name}
 
         def no_node(_: Node) -> bool:
             return False
 
-        while not any(node.coordinator.holds for node in others):
-            if holder.coordinator.holds:
+        while not any(node.coordinator.holds_lease for node in others):
+            if holder.coordinator.holds_lease:
                 acted_s = clock.monotonic_s()
-            await play(nodes, clock, TICK_S, speaking=no_node)
+            await run_nodes(nodes, clock, TICK_S, sends_state=no_node)
         assert clock.monotonic_s() - acted_s >= LEASE.handover_s - 1e-6
 
     asyncio.run(run())
--- a/tests/test_order_finish.py
+++ b/tests/test_order_finish.py
@@ -86,12 +86,12 @@
         )
         for _ in range(9):
             coordinator.note_waiting("llm", Prompt(model="m1"), step=1)
-        await coordinator.step_lease()
+        await coordinator.renew_or_acquire_lease()
 
         async def renew() -> None:
             while True:
                 await asyncio.sleep(0.2)
-                await coordinator.step_lease()
+                await coordinator.renew_or_acquire_lease()
 
         renewing = asyncio.ensure_future(renew())
         await coordinator.orders.tick()
@@ -110,7 +110,7 @@
     await until(lambda: bool(engine.received))
     loop = asyncio.get_running_loop()
     started_s = loop.time()
-    await coordinator.give_up()
+    await coordinator.release()
     assert engine.holder == ""
     took_s = loop.time() - started_s
     await asyncio.sleep(20)
@@ -149,7 +149,7 @@
     engine = LeaseRecordingEngine("m0", "m2", busy_s=0.0)
 
     async def scenario(coordinator: PlacementCoordinator) -> None:
-        await coordinator.give_up()
+        await coordinator.release()
         await asyncio.sleep(5)
         assert engine.received == []
         assert set(engine.models) == {"m0", "m2"}
@@ -165,7 +165,7 @@
     async def scenario(coordinator: PlacementCoordinator) -> None:
         await until(lambda: bool(engine.received))
         sent_s = engine.received[0][0]
-        await coordinator.give_up()
+        await coordinator.release()
         assert asyncio.get_running_loop().time() >= sent_s + ORDER_ANSWER_S
         assert engine.holder == ""
 
@@ -180,9 +180,9 @@
         fleet = coordinator.orders._ports.fleet
         fleet.put(an_entry("e2", models={"m0": frozenset()}))
         await until(lambda: bool(engine.received))
-        giving_up = asyncio.ensure_future(coordinator.give_up())
+        giving_up = asyncio.ensure_future(coordinator.release())
         await asyncio.sleep(0.3)
-        assert coordinator.holds
+        assert coordinator.holds_lease
         assert await coordinator.orders.ensure_adapter("llm", "e2", "m0", "a1")
         await giving_up
 
@@ -196,10 +196,10 @@
         node = EntryNode(entry_settings("vm-a"))
         node.clock = LoopClock()  # type: ignore[assignment]
 
-        async def give_up() -> None:
+        async def release() -> None:
             await asyncio.sleep(2.0)
 
-        node.coordinator.give_up = give_up  # type: ignore[method-assign]
+        node.coordinator.release = release  # type: ignore[method-assign]
         loop = asyncio.get_running_loop()
         started_s = loop.time()
         await node.stop()
--- a/tests/test_peer_link.py
+++ b/tests/test_peer_link.py
@@ -58,7 +58,7 @@
         (expected, ("10.0.0.2", 7)),
     ]
     # This VM has applied it as well.
-    assert exchange.peers.heard_holder() == ("s1", 1)
+    assert exchange.peers.last_holder_message() == ("s1", 1)
 
 
 def test_the_forwarding_delay_is_added_to_reported_ages(
@@ -95,7 +95,7 @@
     # The monotonic clock stops during suspension and does not show the pause.
     boot_clock = ManualClock()
     exchange, sent = a_link(ManualClock(), monkeypatch)
-    exchange.link._boot = boot_clock
+    exchange.link._boot_clock = boot_clock
     exchange.link.note_awake()
     boot_clock.advance(5.0)
     forwarded = Forwarded(word=encoded_state(), forward_to=("10.0.0.1:7",))
@@ -110,7 +110,7 @@
     exchange.link.note_awake()
     inner = encode(Forwarded(word=encoded_state(), forward_to=("10.0.0.1:7",)))
     exchange.link.datagram_received(encode(Forwarded(word=inner)), ("", 0))
-    assert sent.messages == [] and not exchange.peers.heard_holder()[0]
+    assert sent.messages == [] and not exchange.peers.last_holder_message()[0]
 
 
 @pytest.mark.parametrize("head", [b"", b"{", b"[]", b'{"to":1,"l":0}', b'{"to":[]}'])
--- a/tests/test_planned_stop.py
+++ b/tests/test_planned_stop.py
@@ -40,7 +40,7 @@
 
     async def run() -> None:
         node = EntryNode(entry_settings("vm"))
-        node.coordinator.leases.give_up = _nothing_held  # type: ignore[method-assign]
+        node.coordinator.leases.release = _nothing_held  # type: ignore[method-assign]
         if course is not None:
             course(node)
         loop = asyncio.get_running_loop()
@@ -93,7 +93,7 @@
             await asyncio.sleep(60.0)
             return 0
 
-        node.coordinator.leases.give_up = slowly  # type: ignore[method-assign]
+        node.coordinator.leases.release = slowly  # type: ignore[method-assign]
 
     grace_s = entry_settings("vm").stop.grace_s
     assert stop(monkeypatch, course) < grace_s
@@ -111,10 +111,10 @@
         loop = asyncio.get_running_loop()
         begun_s = loop.time()
 
-        async def give_up() -> None:
+        async def release() -> None:
             await asyncio.sleep(entry_node.BALANCER_NOTICES_S + 1.0)
 
-        node.coordinator.give_up = give_up  # type: ignore[method-assign]
+        node.coordinator.release = release  # type: ignore[method-assign]
         node.gateway.close_idle = lambda: closed_s.append(  # type: ignore[method-assign]
             loop.time() - begun_s
         )
