--- a/src/rosepath/demand.py
+++ b/src/rosepath/demand.py
@@ -34,22 +34,22 @@
     # The model's adapters that were requested lately.
     adapters: frozenset[str] = frozenset()
     # The load over a shorter window.
-    fresh_load: float = 0.0
+    recent_load: float = 0.0
     # All requests for the model, whether or not an engine could accept them.
-    asked_per_s: float = 0.0
+    requests_per_s: float = 0.0
 
     @property
     def expected_load(self) -> float:
         """Return the load to plan for, including waiting requests."""
         waiting = self.waiting * WAITING_REQUEST_PREFILL_S / RECENT_WINDOW_S
-        return max(self.load, RECENT_LOAD_DISCOUNT * (self.fresh_load + waiting))
+        return max(self.load, RECENT_LOAD_DISCOUNT * (self.recent_load + waiting))
 
     @property
     def expected_requests_per_s(self) -> float:
         """Return the requests per second to plan for."""
-        if self.asked_per_s <= 0 or self.load <= 0:
-            return max(self.asked_per_s, REQUESTS_PER_LOAD * self.expected_load)
-        return self.asked_per_s * self.expected_load / self.load
+        if self.requests_per_s <= 0 or self.load <= 0:
+            return max(self.requests_per_s, REQUESTS_PER_LOAD * self.expected_load)
+        return self.requests_per_s * self.expected_load / self.load
 
 
 @dataclass(slots=True, kw_only=True)
@@ -59,7 +59,7 @@
     waiting: int = 0
 
 
-class Demand:
+class DemandTracker:
     """Count the requests that this entry VM receives, by service and model."""
 
     def __init__(self) -> None:
@@ -130,7 +130,7 @@
                 known.load + demand.load,
                 known.waiting + demand.waiting,
                 known.adapters | demand.adapters,
-                known.fresh_load + demand.fresh_load,
-                known.asked_per_s + demand.asked_per_s,
+                known.recent_load + demand.recent_load,
+                known.requests_per_s + demand.requests_per_s,
             )
     return total
--- a/src/rosepath/demand_history.py
+++ b/src/rosepath/demand_history.py
@@ -19,7 +19,7 @@
     the load takes.
     """
 
-    owed: dict[str, float] = field(default_factory=dict)
+    unserved_requests: dict[str, float] = field(default_factory=dict)
     _updated_s: float | None = None
 
     def note(
@@ -33,12 +33,12 @@
         elapsed_s = 0.0 if self._updated_s is None else now_s - self._updated_s
         self._updated_s = now_s
         if elapsed_s > MAX_UPDATE_GAP_S:
-            self.owed.clear()
+            self.unserved_requests.clear()
             return
-        for model in list(self.owed):
+        for model in list(self.unserved_requests):
             if model in held:
-                del self.owed[model]
+                del self.unserved_requests[model]
         for model, demand in demands.items():
             if model not in held:
-                more = demand.asked_per_s * elapsed_s
-                self.owed[model] = self.owed.get(model, 0.0) + more
+                more = demand.requests_per_s * elapsed_s
+                self.unserved_requests[model] = self.unserved_requests.get(model, 0.0) + more
--- a/src/rosepath/dispatch.py
+++ b/src/rosepath/dispatch.py
@@ -26,7 +26,7 @@
     RoutingPolicy,
     RoutingRequest,
     choose_replica,
-    has_room_besides,
+    has_capacity_elsewhere,
     note_failure,
     note_success,
     predicted_first_token_s,
@@ -211,7 +211,7 @@
         """
         if attempt.left_s <= 0:
             return True
-        if not has_room_besides(replicas, target, unfit=unfit):
+        if not has_capacity_elsewhere(replicas, target, unfit=unfit):
             return False
         return judge(attempt, self.budget) is not Verdict.GIVE_UP
 
--- a/src/rosepath/engine_books.py
+++ b/src/rosepath/engine_books.py
@@ -44,11 +44,11 @@
     age_s: Mapping[str, float]
     in_use: Mapping[str, int]
     # False while an order is in progress.
-    settled: bool
+    accepts_orders: bool
     # Load times of the models it can load without the weight store.
-    near: Mapping[str, float]
+    local_load_s: Mapping[str, float]
     # The model it is loading.
-    coming: str = ""
+    loading_model: str = ""
     # Its loaded adapters, as `model/adapter`.
     adapters: frozenset[str] = frozenset()
 
@@ -72,7 +72,7 @@
     models: Mapping[str, ModelSpec]
     demands: Mapping[str, ModelDemand]
     limits: EngineLimits
-    owed: Mapping[str, float]
+    unserved_requests: Mapping[str, float]
     # Engines by model that they hold or load.
     replicas: dict[str, set[str]]
     # Models by engine.
@@ -89,17 +89,17 @@
         demands: Mapping[str, ModelDemand],
         *,
         limits: EngineLimits,
-        owed: Mapping[str, float],
+        unserved_requests: Mapping[str, float],
     ) -> "PlanState":
         state = cls(
             engines={engine.name: engine for engine in engines},
             models=models,
             demands=demands,
             limits=limits,
-            owed=owed,
+            unserved_requests=unserved_requests,
             replicas={model: set() for model in models},
             held={
-                engine.name: set(engine.age_s) | ({engine.coming} - {""})
+                engine.name: set(engine.age_s) | ({engine.loading_model} - {""})
                 for engine in engines
             },
         )
@@ -109,7 +109,7 @@
         for model, demand in demands.items():
             state.workload_by_model[model] = Workload(
                 prefill_share=demand.expected_load,
-                asked_per_s=demand.expected_requests_per_s,
+                requests_per_s=demand.expected_requests_per_s,
                 running=running[model],
                 adapters=len(demand.adapters),
             )
--- a/src/rosepath/engine_choice.py
+++ b/src/rosepath/engine_choice.py
@@ -51,7 +51,7 @@
 ) -> float:
     """Return the expected delay of loading one more adapter onto an engine."""
     used = sum("/" in target for target in engine.targets_in_use)
-    if engine.ordering_until_s > now_s or used >= adapter_slots:
+    if engine.order_busy_until_s > now_s or used >= adapter_slots:
         return OCCUPIED_PENALTY_S
     return ADAPTER_PENALTY_S + ADAPTER_SLOT_PENALTY_S * used / adapter_slots
 
--- a/src/rosepath/engine_plan.py
+++ b/src/rosepath/engine_plan.py
@@ -73,15 +73,15 @@
     *,
     store_room: bool,
     limits: EngineLimits,
-    owed: Mapping[str, float] = NO_UNSERVED_REQUESTS,
+    unserved_requests: Mapping[str, float] = NO_UNSERVED_REQUESTS,
 ) -> list[Swap]:
     """Return the next swaps, the most useful first, at most one per engine.
 
     The last argument counts the unserved requests for each model without a
     replica.
     """
-    state = PlanState.from_views(engines, models, demands, limits=limits, owed=owed)
-    free = {engine.name: engine for engine in engines if engine.settled}
+    state = PlanState.from_views(engines, models, demands, limits=limits, unserved_requests=unserved_requests)
+    free = {engine.name: engine for engine in engines if engine.accepts_orders}
     swapping = len(engines) - len(free)
     swaps: list[Swap] = []
     while free and len(swaps) < MAX_SWAPS_PER_PLAN:
@@ -131,7 +131,7 @@
             swap
             for engine in engines
             if model not in state.held[engine.name]
-            and (store_room or model in engine.near)
+            and (store_room or model in engine.local_load_s)
             and (swap := _swap_for(engine, model, replica_gain_per_s, state))
             is not None
         ]
@@ -147,9 +147,9 @@
 ) -> Swap | None:
     """Return a swap with sufficient gain, or None."""
     spec = state.models[model]
-    from_store = model not in engine.near
-    load_s = spec.load_s if from_store else engine.near[model]
-    gain = UNSERVED_REQUEST_WEIGHT * state.owed.get(model, 0.0) + _discounted_gain(
+    from_store = model not in engine.local_load_s
+    load_s = spec.load_s if from_store else engine.local_load_s[model]
+    gain = UNSERVED_REQUEST_WEIGHT * state.unserved_requests.get(model, 0.0) + _discounted_gain(
         replica_gain_per_s, load_s
     )
     gain += _new_data_centre_gain(engine, model, state)
--- a/src/rosepath/engine_strain.py
+++ b/src/rosepath/engine_strain.py
@@ -46,7 +46,7 @@
     """
 
     prefill_share: float = 0.0
-    asked_per_s: float = 0.0
+    requests_per_s: float = 0.0
     running: float = 0.0
     adapters: float = 0.0
 
@@ -54,7 +54,7 @@
         """Return the sum of this workload and a multiple of another."""
         return Workload(
             prefill_share=max(0.0, self.prefill_share + times * other.prefill_share),
-            asked_per_s=max(0.0, self.asked_per_s + times * other.asked_per_s),
+            requests_per_s=max(0.0, self.requests_per_s + times * other.requests_per_s),
             running=max(0.0, self.running + times * other.running),
             adapters=max(0.0, self.adapters + times * other.adapters),
         )
@@ -78,7 +78,7 @@
     """Return the number of requests per second that an engine serves late."""
     excess_adapters = max(0.0, workload.adapters - limits.adapter_slots)
     late = 0.0
-    if workload.asked_per_s > 0:
+    if workload.requests_per_s > 0:
         in_time = 1.0 - stalled_stream_share(workload, limits)
         filled = workload.running / limits.slots
         queueing = max(
@@ -88,7 +88,7 @@
         late = 1.0 - in_time + queueing + in_time * late_prefill_share(workload, limits)
         late = max(0.0, late - TOLERATED_LATE_SHARE) / (1.0 - TOLERATED_LATE_SHARE)
         late = min(MAX_LATE_SHARE, late)
-    return workload.asked_per_s * late + LATE_PER_S_PER_EXCESS_ADAPTER * excess_adapters
+    return workload.requests_per_s * late + LATE_PER_S_PER_EXCESS_ADAPTER * excess_adapters
 
 
 def late_prefill_share(workload: Workload, limits: EngineLimits) -> float:
@@ -98,9 +98,9 @@
     result is 1 or more if the queue grows without bound.
     """
     busy = workload.prefill_share / MAX_PREFILL_SHARE
-    if busy >= 1.0 or workload.asked_per_s <= 0:
+    if busy >= 1.0 or workload.requests_per_s <= 0:
         return busy
-    mean_read_s = workload.prefill_share / workload.asked_per_s
+    mean_read_s = workload.prefill_share / workload.requests_per_s
     if mean_read_s <= 0:
         return 0.0
     return busy * math.exp(-limits.first_s * (1.0 - busy) / mean_read_s)
@@ -114,11 +114,11 @@
     stream spans as many such windows as fit into its duration, and each may
     contain a burst.
     """
-    shape = workload.asked_per_s * limits.gap_s / PROMPT_LENGTH_DISPERSION
+    shape = workload.requests_per_s * limits.gap_s / PROMPT_LENGTH_DISPERSION
     if workload.prefill_share <= 0 or shape < MIN_GAMMA_SHAPE:
         return 0.0
     risk = _gamma_tail(PREFILL_SHARE_OF_PAUSE / workload.prefill_share, shape)
-    life_s = workload.running / workload.asked_per_s
+    life_s = workload.running / workload.requests_per_s
     windows = max(1.0, life_s / limits.gap_s)
     return 1.0 - (1.0 - risk) ** windows
 
--- a/src/rosepath/engine_views.py
+++ b/src/rosepath/engine_views.py
@@ -13,8 +13,8 @@
     server: BackendServer, record: EngineRecord, spec: EngineSpec, *, now_s: float
 ) -> EngineView:
     """Return the planner's view of an engine."""
-    near = {
-        name: load_s_of(server, spec.models[name])
+    local_load_s = {
+        name: model_load_s(server, spec.models[name])
         for name in server.entry.on_disk | server.entry.in_memory
         if name in spec.models
     }
@@ -27,12 +27,12 @@
             model: now_s - record.loaded_s.get(model, -1e9) for model in record.models
         },
         in_use=server.models_in_use,
-        settled=record.known
+        accepts_orders=record.known
         and not record.occupied
         and not server.in_backoff(now_s)
         and server.entry.remaining_s is None,
-        near=near,
-        coming=record.loading,
+        local_load_s=local_load_s,
+        loading_model=record.loading,
         adapters=frozenset(record.adapters),
     )
 
@@ -48,7 +48,7 @@
     )
 
 
-def load_s_of(server: BackendServer, model: ModelSpec) -> float:
+def model_load_s(server: BackendServer, model: ModelSpec) -> float:
     """Return how long a load takes from the fastest storage that has it."""
     if model.name in server.entry.in_memory:
         return model.warm_load_s
@@ -57,9 +57,9 @@
     return model.load_s
 
 
-def swap_s(swap: Swap, server: BackendServer, spec: EngineSpec) -> float:
+def swap_duration_s(swap: Swap, server: BackendServer, spec: EngineSpec) -> float:
     """Return how long a swap will take, including the unloads before it."""
     in_use = server.models_in_use
     waits = any(in_use[victim] for victim in swap.victims)
-    load_s = load_s_of(server, spec.models[swap.model])
+    load_s = model_load_s(server, spec.models[swap.model])
     return load_s + (IN_USE_WAIT_S if waits else 0.0)
--- a/src/rosepath/fleet.py
+++ b/src/rosepath/fleet.py
@@ -42,7 +42,7 @@
 
 
 @dataclass(slots=True, kw_only=True)
-class Flight:
+class InFlightRequest:
     """Hold one request of this entry VM in flight at a backend server.
 
     `unread_tokens` are the prompt tokens it likely has to prefill; they count
@@ -71,7 +71,7 @@
     unread_tokens: int = 0
     targets: Mapping[str, int] = field(default_factory=dict)
 
-    def less(self, other: "PeerLoad") -> "PeerLoad":
+    def minus(self, other: "PeerLoad") -> "PeerLoad":
         """Return this load minus another."""
         return PeerLoad(
             requests=max(0, self.requests - other.requests),
@@ -85,21 +85,21 @@
 
     entry: ServerEntry
     left: bool = False
-    flights: dict[str, Flight] = field(default_factory=dict)
+    in_flight_requests: dict[str, InFlightRequest] = field(default_factory=dict)
     peers: dict[str, PeerLoad] = field(default_factory=dict)
     failures: int = 0
     suspect_until_s: float = 0.0
     # When it last made progress on any request of this VM.
-    moved_s: float | None = None
+    last_activity_s: float | None = None
     # Until when it counts as down after a failed connection attempt.
     down_until_s: float = -1e9
-    unreached_s: float = -1e9
+    connect_failed_s: float = -1e9
     latency_s: float = 0.0
     error_rate: float = 0.0
     # The entry's models, updated from later answers and orders.
     held: dict[str, set[str]] = field(default_factory=dict)
     # Until when it is known to be busy with an order and to load no adapter.
-    ordering_until_s: float = -1e9
+    order_busy_until_s: float = -1e9
     # Until when it sheds requests of this VM, as given in its refusal.
     backoff_until_s: float = -1e9
     # Set by a backoff until the server answers without load shedding.
@@ -136,23 +136,23 @@
 
     def moved_ago_s(self, now_s: float) -> float | None:
         """Return the time since its last progress for this VM, if any."""
-        return None if self.moved_s is None else round(now_s - self.moved_s, 3)
+        return None if self.last_activity_s is None else round(now_s - self.last_activity_s, 3)
 
     @property
     def requests(self) -> int:
         """Return the requests of all entry VMs at this server."""
-        return len(self.flights) + sum(load.requests for load in self.peers.values())
+        return len(self.in_flight_requests) + sum(load.requests for load in self.peers.values())
 
     @property
     def unread_tokens(self) -> int:
         """Return the prompt tokens that wait for prefill on this server."""
-        own = sum(flight.unread_tokens for flight in self.flights.values())
+        own = sum(flight.unread_tokens for flight in self.in_flight_requests.values())
         return own + sum(load.unread_tokens for load in self.peers.values())
 
     @property
     def targets_in_use(self) -> Counter[str]:
         """Return the running requests by model and adapter."""
-        used = Counter(flight.target for flight in self.flights.values())
+        used = Counter(flight.target for flight in self.in_flight_requests.values())
         for load in self.peers.values():
             used.update(load.targets)
         return used
@@ -274,9 +274,9 @@
 
 def own_load(server: BackendServer) -> PeerLoad:
     """Return this entry VM's own load at a backend server."""
-    flights = server.flights.values()
+    in_flight_requests = server.in_flight_requests.values()
     return PeerLoad(
-        requests=len(flights),
-        unread_tokens=sum(flight.unread_tokens for flight in flights),
-        targets=Counter(flight.target for flight in flights if flight.target),
+        requests=len(in_flight_requests),
+        unread_tokens=sum(flight.unread_tokens for flight in in_flight_requests),
+        targets=Counter(flight.target for flight in in_flight_requests if flight.target),
     )
--- a/src/rosepath/held_moves.py
+++ b/src/rosepath/held_moves.py
@@ -70,7 +70,7 @@
         until_s = self._clock.monotonic_s() + OCCUPIED_TTL_S
         for name in state.occupied:
             if name in self._fleet.servers:
-                self._fleet.servers[name].ordering_until_s = until_s
+                self._fleet.servers[name].order_busy_until_s = until_s
 
     def _apply(self, move: HeldMove) -> None:
         server = self._fleet.servers.get(move.server)
--- a/src/rosepath/model_arrivals.py
+++ b/src/rosepath/model_arrivals.py
@@ -20,7 +20,7 @@
 
     server: str
     model: str
-    in_s: float
+    arrives_in_s: float
 
 
 class WaitDecision(StrEnum):
@@ -50,7 +50,7 @@
         self._updated_s = now_s
         self._due_s.clear()
         for arrival in arrivals:
-            due_s = now_s + arrival.in_s
+            due_s = now_s + arrival.arrives_in_s
             known_s = self._due_s.get(arrival.model, due_s)
             self._due_s[arrival.model] = min(due_s, known_s)
 
--- a/src/rosepath/order_dispatcher.py
+++ b/src/rosepath/order_dispatcher.py
@@ -17,7 +17,7 @@
 )
 from rosepath.engine_plan import plan_swaps
 from rosepath.engine_strain import EngineLimits
-from rosepath.engine_views import engine_view, swap_s, used_mb
+from rosepath.engine_views import engine_view, swap_duration_s, used_mb
 from rosepath.errors import ExchangeError
 from rosepath.fleet import BackendServer, Fleet
 from rosepath.logs import get_logger
@@ -141,7 +141,7 @@
         demands = self._ports.demand(service)
         service_objectives = catalog.objectives.get(service, Objectives())
         history = self._histories.setdefault(service, DemandHistory())
-        held = {model for view in views for model in (*view.age_s, view.coming)}
+        held = {model for view in views for model in (*view.age_s, view.loading_model)}
         history.note(demands, held=held, now_s=now_s)
         swaps = plan_swaps(
             views,
@@ -154,14 +154,14 @@
                 gap_s=service_objectives.gap_s,
             ),
             store_room=self._load_rate_limit.allows(now_s, per_s=spec.loads_per_s),
-            owed=history.owed,
+            unserved_requests=history.unserved_requests,
         )
         for swap in swaps:
             server = self._ports.fleet.servers[swap.engine]
             record = self._records[swap.engine]
             record.swap_in_progress = True
             record.loading = swap.model
-            record.load_due_s = now_s + swap_s(swap, server, spec)
+            record.load_due_s = now_s + swap_duration_s(swap, server, spec)
             if swap.from_store:
                 self._load_rate_limit.record(now_s)
             _log.info(
--- a/src/rosepath/peer_exchange.py
+++ b/src/rosepath/peer_exchange.py
@@ -127,7 +127,7 @@
         unreached = [
             server.name
             for server in self._tables.fleet.servers.values()
-            if server.unreached_s > now_s - DOWN_REPORTED_S
+            if server.connect_failed_s > now_s - DOWN_REPORTED_S
         ]
         holding = self._coordinator.term > 0
         sends_totals = holding and self.peers.large_fleet
@@ -228,7 +228,7 @@
             step="peers",
             peer=server.name,
             by=state.entry_vm,
-            in_flight=len(server.flights),
+            in_flight=len(server.in_flight_requests),
             looked_ago_s=self._tables.looked_ago_s,
             their_revision=state.servers_revision,
             their_store_ago_s=state.store_ago_s,
@@ -239,7 +239,7 @@
         return {
             server.name: own_load(server)
             for server in self._tables.fleet.servers.values()
-            if server.flights
+            if server.in_flight_requests
         }
 
     def _totals(self) -> dict[str, PeerLoad]:
@@ -296,7 +296,7 @@
             total = state.totals.get(server.name)
             server.peers.clear()
             if total is not None:
-                server.peers[state.entry_vm] = total.less(own_load(server))
+                server.peers[state.entry_vm] = total.minus(own_load(server))
         self._servers_with_load[state.entry_vm] = frozenset(state.totals)
 
     async def forget_silent(self) -> None:
--- a/src/rosepath/peer_messages.py
+++ b/src/rosepath/peer_messages.py
@@ -231,14 +231,14 @@
                     round(demand.load, 4),
                     demand.waiting,
                     sorted(demand.adapters),
-                    round(demand.fresh_load, 4),
-                    round(demand.asked_per_s, 2),
+                    round(demand.recent_load, 4),
+                    round(demand.requests_per_s, 2),
                 ]
                 for model, demand in models.items()
             }
             for service, models in message.demand.items()
         },
-        "a": [[*arrival[:2], round(arrival.in_s, 2)] for arrival in message.arrivals],
+        "a": [[*arrival[:2], round(arrival.arrives_in_s, 2)] for arrival in message.arrivals],
         "g": [list(server) for server in message.leaving],
         "d": list(message.down),
         "u": list(message.occupied),
--- a/src/rosepath/placement_coordinator.py
+++ b/src/rosepath/placement_coordinator.py
@@ -7,7 +7,7 @@
 from rosepath.caller_call import Prompt
 from rosepath.catalog import Catalog
 from rosepath.clock import BootClock, Clock
-from rosepath.demand import Demand, ModelDemand, total_demand
+from rosepath.demand import DemandTracker, ModelDemand, total_demand
 from rosepath.engine_orders import EnginePort
 from rosepath.entry_settings import EntrySettings
 from rosepath.fleet import BackendServer, Fleet
@@ -106,7 +106,7 @@
         self.term_begun = asyncio.Event()
         self._lease_checked = False
         self._boot_clock = boot_clock or BootClock()
-        self.demand = Demand()
+        self.demand = DemandTracker()
         self._extension = LeaseExtension(silence_s=HOLDER_SILENCE_S)
         self._finish_orders_max_s = min(
             FINISH_ORDERS_MAX_S, FINISH_ORDERS_GRACE_SHARE * settings.stop.grace_s
--- a/src/rosepath/relay.py
+++ b/src/rosepath/relay.py
@@ -13,7 +13,7 @@
 from rosepath.crash_watch import life_of
 from rosepath.errors import Refusal, RefusalError, Run, Step, refuse
 from rosepath.event_sequence import EventSequence
-from rosepath.fleet import BackendServer, Flight
+from rosepath.fleet import BackendServer, InFlightRequest
 from rosepath.gateway import CallerExchange
 from rosepath.http_client import ResponseHead
 from rosepath.logs import get_logger
@@ -27,7 +27,7 @@
     note_error,
     note_failure,
     note_success,
-    note_unreached,
+    note_connect_failure,
 )
 from rosepath.server_notice import ServerNotice
 from rosepath.server_picker import ServerPicker
@@ -168,7 +168,7 @@
                 await self._suspects.note_failed(context, server, flight, error)
                 await self._retry_policy.wait_to_retry(context, error)
                 continue
-            server.moved_s = self._now_s()
+            server.last_activity_s = self._now_s()
             failed = not answer.success
             if failed and await self._retry_error_response(context, server, answer):
                 continue
@@ -201,17 +201,17 @@
             # passed on, and ending the stream would make it look complete.
             await self._retry_policy.wait_to_retry(context, error)
             return True
-        if not self._picker.has_untried(context):
+        if not self._picker.has_untried_server(context):
             return False
         context.obstacle = self._retry_policy.obstacle(context, error)
         return context.obstacle is None
 
     async def _attempt(
-        self, context: RequestContext, server: BackendServer, flight: Flight
+        self, context: RequestContext, server: BackendServer, flight: InFlightRequest
     ) -> Answer:
         def on_events(head: ResponseHead, events: bytes) -> Awaitable[None] | None:
-            server.moved_s = self._now_s()
-            context.note_events(now_s=server.moved_s)
+            server.last_activity_s = self._now_s()
+            context.note_events(now_s=server.last_activity_s)
             flight.unread_tokens = 0
             self._suspects.note_events(context, flight)
             if not context.exchange.begun:
@@ -245,7 +245,7 @@
             on_notice=lambda notice: self._apply_notice(server, notice),
         )
         self._retry_policy.consume_retry(context)
-        server.flights[context.call.request_id] = flight
+        server.in_flight_requests[context.call.request_id] = flight
         if server.half_open:
             server.probed_s = self._now_s()
         self._suspects.start(context, server, flight)
@@ -258,7 +258,7 @@
                 on_events=on_events if event_sequence is not None else None,
             )
         finally:
-            server.flights.pop(context.call.request_id, None)
+            server.in_flight_requests.pop(context.call.request_id, None)
             self._suspects.end(context)
 
     def _apply_notice(self, server: BackendServer, notice: ServerNotice) -> None:
@@ -297,7 +297,7 @@
         context.tried.add(server.name)
         now_s = self._now_s()
         if error.evidence is Evidence.NOT_SENT:
-            note_unreached(server, now_s=now_s)
+            note_connect_failure(server, now_s=now_s)
             if error.step is Step.CONNECT and not error.timed_out:
                 self._ports.crashes.note_crashed(life_of(server))
         if error.evidence is not Evidence.REFUSED:
--- a/src/rosepath/retry_policy.py
+++ b/src/rosepath/retry_policy.py
@@ -92,7 +92,7 @@
                 duration_s=now_s - context.last_event_s,
                 caller_timeout_s=route.event_patience_s,
                 server_idle_s=server.moved_ago_s(now_s),
-                capacity_elsewhere=self._picker.has_room_besides(context, server),
+                capacity_elsewhere=self._picker.has_capacity_elsewhere(context, server),
             ),
             lambda: self._reserve_retry(context),
         )
--- a/src/rosepath/routing.py
+++ b/src/rosepath/routing.py
@@ -49,7 +49,7 @@
     return replica.reachable and not replica.leaving and target in replica.resident
 
 
-def has_room_besides(
+def has_capacity_elsewhere(
     replicas: Iterable[Replica], target: str, *, unfit: Collection[str]
 ) -> bool:
     """Tell whether a replica that is not unfit has a place for a target."""
--- a/src/rosepath/server_choice.py
+++ b/src/rosepath/server_choice.py
@@ -82,9 +82,9 @@
         server.half_open = False
 
 
-def note_unreached(server: BackendServer, *, now_s: float) -> None:
+def note_connect_failure(server: BackendServer, *, now_s: float) -> None:
     """Record a failed connection attempt."""
-    server.unreached_s = now_s
+    server.connect_failed_s = now_s
     server.down_until_s = now_s + CONNECT_RETRY_DELAY_S
 
 
--- a/src/rosepath/server_picker.py
+++ b/src/rosepath/server_picker.py
@@ -15,7 +15,7 @@
     holds_adapter,
 )
 from rosepath.errors import RefusalError, Run, Step, refuse
-from rosepath.fleet import BackendServer, Flight
+from rosepath.fleet import BackendServer, InFlightRequest
 from rosepath.logs import get_logger
 from rosepath.model_arrivals import WaitDecision, choose_wait
 from rosepath.request_context import RETRY_AFTER_S, RelayPorts, RequestContext
@@ -45,7 +45,7 @@
         self._ports = ports
         self._suspects = suspects
 
-    async def choose(self, context: RequestContext) -> tuple[BackendServer, Flight]:
+    async def choose(self, context: RequestContext) -> tuple[BackendServer, InFlightRequest]:
         """Choose a server, waiting up to a limit if there is none."""
         started_s = self._now_s()
         wait_until_s = self._wait_limit_s(context, started_s)
@@ -98,7 +98,7 @@
         started_s: float,
         wait_until_s: float,
         count_waiting: Callable[[], None],
-    ) -> tuple[BackendServer, Flight]:
+    ) -> tuple[BackendServer, InFlightRequest]:
         while True:
             self._refuse_if_quarantined(context)
             await self._ports.make_sure()
@@ -181,7 +181,7 @@
 
     async def _pick(
         self, context: RequestContext
-    ) -> tuple[BackendServer, Flight] | None:
+    ) -> tuple[BackendServer, InFlightRequest] | None:
         ports = self._ports
         now_s = self._now_s()
         servers = ports.fleet.of_service(context.service.name)
@@ -202,7 +202,7 @@
                 # The request left a slow server and no other server accepted
                 # it: any server may be tried again.
                 context.tried.clear()
-            return None if server is None else (server, Flight())
+            return None if server is None else (server, InFlightRequest())
         choice = await self._pick_engine(
             context, prompt, context.service.engine, avoided
         )
@@ -214,7 +214,7 @@
         )
         context.unread_tokens = choice.unread_tokens
         context.predicted_s = choice.first_token_s
-        flight = Flight(
+        flight = InFlightRequest(
             unread_tokens=choice.unread_tokens,
             target=prompt.target,
         )
@@ -264,7 +264,7 @@
             rejected.add(choice.server.name)
         return None
 
-    def has_room_besides(self, context: RequestContext, server: BackendServer) -> bool:
+    def has_capacity_elsewhere(self, context: RequestContext, server: BackendServer) -> bool:
         """Return whether another server has capacity for a request."""
         ports, now_s = self._ports, self._now_s()
         prompt, spec = context.call.prompt, context.service.engine
@@ -285,7 +285,7 @@
         ]
         return bool(healthy_servers(others, cut_off=ports.cut_off(), now_s=now_s))
 
-    def has_untried(self, context: RequestContext) -> bool:
+    def has_untried_server(self, context: RequestContext) -> bool:
         """Return whether a request has not been sent to some server yet."""
         now_s = self._now_s()
         return any(
--- a/src/rosepath/store_tables.py
+++ b/src/rosepath/store_tables.py
@@ -242,7 +242,7 @@
             event,
             step=step,
             peer=name,
-            in_flight=len(server.flights) if server else 0,
+            in_flight=len(server.in_flight_requests) if server else 0,
             looked_ago_s=self.looked_ago_s,
             trouble_ago_s=round(self._clock.monotonic_s() - self._store_failure_s, 3),
             revision=self.servers_feed.revision,
--- a/src/rosepath/suspects.py
+++ b/src/rosepath/suspects.py
@@ -6,7 +6,7 @@
 from rosepath.clock import Clock
 from rosepath.crash_records import Exposure, Suspicion
 from rosepath.crash_watch import CrashWatch, LostRun
-from rosepath.fleet import BackendServer, Flight
+from rosepath.fleet import BackendServer, InFlightRequest
 from rosepath.isolated_runs import ISOLATED_S
 from rosepath.request_context import RequestContext
 from rosepath.retries import Evidence
@@ -42,7 +42,7 @@
         return self._crashes.isolated.servers(now_s=self._clock.monotonic_s())
 
     def start(
-        self, context: RequestContext, server: BackendServer, flight: Flight
+        self, context: RequestContext, server: BackendServer, flight: InFlightRequest
     ) -> None:
         """Note that a request is sent to a server."""
         flight.isolated = self.suspicion(context) is Suspicion.SUSPECT
@@ -53,7 +53,7 @@
                 server=server.name,
             )
 
-    def note_events(self, context: RequestContext, flight: Flight) -> None:
+    def note_events(self, context: RequestContext, flight: InFlightRequest) -> None:
         """Note that events came; what runs for long need not stay isolated."""
         now_s = self._clock.monotonic_s()
         if flight.begun_s is None:
@@ -83,7 +83,7 @@
         self,
         context: RequestContext,
         server: BackendServer,
-        flight: Flight,
+        flight: InFlightRequest,
         error: AttemptError,
     ) -> None:
         """Find out whether a server crashed, if a run was lost or silent there."""
@@ -97,7 +97,7 @@
             self._crashes.note_silent(server, run)
 
     def _lost_run(
-        self, context: RequestContext, flight: Flight, error: AttemptError
+        self, context: RequestContext, flight: InFlightRequest, error: AttemptError
     ) -> LostRun:
         now_s = self._clock.monotonic_s()
         ran_long = flight.begun_s is not None and now_s - flight.begun_s > ISOLATED_S
--- a/tests/entry_builders.py
+++ b/tests/entry_builders.py
@@ -172,22 +172,22 @@
     name: str,
     *models: str,
     in_use: Mapping[str, int] | None = None,
-    settled: bool = True,
-    near: Mapping[str, float] | None = None,
+    accepts_orders: bool = True,
+    local_load_s: Mapping[str, float] | None = None,
     size_mb: float = 70_000.0,
     data_centre: str = "a",
-    coming: str = "",
+    loading_model: str = "",
 ) -> EngineView:
     return EngineView(
         name=name,
         data_centre=data_centre,
-        coming=coming,
+        loading_model=loading_model,
         memory_mb=200_000.0,
         used_mb=size_mb * len(models),
         age_s=dict.fromkeys(models, 100.0),
         in_use=in_use or {},
-        settled=settled,
-        near={"m0": 0.8, "m1": 0.8, "m2": 0.8, "m3": 0.8} if near is None else near,
+        accepts_orders=accepts_orders,
+        local_load_s={"m0": 0.8, "m1": 0.8, "m2": 0.8, "m3": 0.8} if local_load_s is None else local_load_s,
     )
 
 
--- a/tests/entry_harness.py
+++ b/tests/entry_harness.py
@@ -130,7 +130,7 @@
 
     async def until_unreached(self, name: str) -> None:
         """Wait until a connection to a backend server has failed."""
-        while self.fleet.servers[name].unreached_s < 0:  # noqa: ASYNC110
+        while self.fleet.servers[name].connect_failed_s < 0:  # noqa: ASYNC110
             await asyncio.sleep(0)
 
     async def connect(self) -> tuple[asyncio.StreamReader, asyncio.StreamWriter]:
--- a/tests/test_engine_choice.py
+++ b/tests/test_engine_choice.py
@@ -20,7 +20,7 @@
 from rosepath.caller_call import Prompt
 from rosepath.clock import ManualClock
 from rosepath.engine_choice import EngineChoice, choose_engine
-from rosepath.fleet import BackendServer, Fleet, Flight
+from rosepath.fleet import BackendServer, Fleet, InFlightRequest
 from rosepath.prompt_caches import PromptCaches
 from rosepath.request_context import RelayPorts, RequestContext
 
@@ -52,9 +52,9 @@
     # again.
     fleet = a_fleet("e1", "e2")
     for number in range(2):
-        flight = Flight(target=f"m0/a{number}")
-        fleet.servers["e1"].flights[f"q{number}"] = flight
-    fleet.servers["e2"].flights["q9"] = Flight(unread_tokens=9_000, target="m0")
+        flight = InFlightRequest(target=f"m0/a{number}")
+        fleet.servers["e1"].in_flight_requests[f"q{number}"] = flight
+    fleet.servers["e2"].in_flight_requests["q9"] = InFlightRequest(unread_tokens=9_000, target="m0")
     choice = choose(fleet, a_prompt(adapter="a7"))
     assert choice is not None and choice.server.name == "e2"
 
--- a/tests/test_engine_plan.py
+++ b/tests/test_engine_plan.py
@@ -54,7 +54,7 @@
 
 def test_load_in_progress_is_not_ordered_again() -> None:
     swaps = plan(
-        an_engine_view("e1", "m0", settled=False, coming="m2"),
+        an_engine_view("e1", "m0", accepts_orders=False, loading_model="m2"),
         an_engine_view("e2", "m1", "m3"),
         demands={"m2": ModelDemand(0.0, 2)},
     )
@@ -65,7 +65,7 @@
     # When these engines were left out of the plan while a report was due,
     # their models counted as lost and were loaded again on another engine.
     swaps = plan(
-        an_engine_view("e1", "m0", "m1", settled=False),
+        an_engine_view("e1", "m0", "m1", accepts_orders=False),
         an_engine_view("e2", "m2", "m3"),
         demands={"m0": ModelDemand(0.1, 0)},
     )
@@ -92,7 +92,7 @@
 
 
 def test_without_weight_store_capacity_only_local_models_are_loaded() -> None:
-    view = an_engine_view("e1", "m0", near={})
+    view = an_engine_view("e1", "m0", local_load_s={})
     assert plan(view, demands={"m2": ModelDemand(0, 9)}, store_room=False) == []
 
 
@@ -168,7 +168,7 @@
     # disk and nothing running; a load from the weight store, or after running
     # requests end, would double the wait.
     engines = [
-        an_engine_view("e1", "m1", "m3", near={}),
+        an_engine_view("e1", "m1", "m3", local_load_s={}),
         an_engine_view("e2", "m1", "m3", in_use={"m1": 1, "m3": 1}),
         an_engine_view("e3", "m1", "m3"),
     ]
@@ -190,12 +190,12 @@
     # of the day although other engines had room.
     models = MODELS | {"m0": slow_loading("m0", load_s=load_s)}
     engines = [
-        an_engine_view("e1", "m1", "m2", near={}, in_use={"m1": 2, "m2": 1}),
-        an_engine_view("e2", "m1", "m3", near={}, in_use={"m1": 2, "m3": 1}),
+        an_engine_view("e1", "m1", "m2", local_load_s={}, in_use={"m1": 2, "m2": 1}),
+        an_engine_view("e2", "m1", "m3", local_load_s={}, in_use={"m1": 2, "m3": 1}),
     ]
     demands = {
-        "m0": ModelDemand(0.0, 9, asked_per_s=12.0),
-        "m1": ModelDemand(0.3, 0, asked_per_s=9.0),
+        "m0": ModelDemand(0.0, 9, requests_per_s=12.0),
+        "m1": ModelDemand(0.3, 0, requests_per_s=9.0),
     }
     assert "m0" in models_first_planned("m0", engines, models, demands, ticks=600)
 
@@ -218,7 +218,7 @@
             demands,
             store_room=True,
             limits=LIMITS,
-            owed=history.owed,
+            unserved_requests=history.unserved_requests,
         )
         if any(swap.model == model for swap in swaps):
             return {swap.model for swap in swaps}
@@ -241,36 +241,36 @@
     # Every declared model must stay reachable, whatever its load costs.
     models = MODELS | {"x": replace(a_model("x", size_mb=size_mb), load_s=load_s)}
     engines = [
-        an_engine_view("e1", "m0", "m1", near={}, in_use={"m0": running, "m1": 1}),
-        an_engine_view("e2", "m2", "m3", near={}, in_use={"m2": 2, "m3": running}),
+        an_engine_view("e1", "m0", "m1", local_load_s={}, in_use={"m0": running, "m1": 1}),
+        an_engine_view("e2", "m2", "m3", local_load_s={}, in_use={"m2": 2, "m3": running}),
     ]
     demands = {
-        f"m{number}": ModelDemand(load, 0, asked_per_s=10 * load)
+        f"m{number}": ModelDemand(load, 0, requests_per_s=10 * load)
         for number, load in enumerate(others)
     }
-    demands["x"] = ModelDemand(0.0, waiting, asked_per_s=0.2)
+    demands["x"] = ModelDemand(0.0, waiting, requests_per_s=0.2)
     swaps = plan_swaps(
         engines,
         models,
         demands,
         store_room=True,
         limits=LIMITS,
-        owed={"x": MAX_UNSERVED_REQUESTS},
+        unserved_requests={"x": MAX_UNSERVED_REQUESTS},
     )
     assert "x" in {swap.model for swap in swaps}
 
 
 def test_unserved_requests_reset_with_a_replica_or_a_lost_lease() -> None:
     history = DemandHistory()
-    demands = {"m0": ModelDemand(0.0, 2, asked_per_s=3.0)}
+    demands = {"m0": ModelDemand(0.0, 2, requests_per_s=3.0)}
     for now_s in (0.0, 1.0, 2.0):
         history.note(demands, held=(), now_s=now_s)
-    assert history.owed == {"m0": 6.0}
+    assert history.unserved_requests == {"m0": 6.0}
     history.note(demands, held=("m0",), now_s=3.0)
-    assert history.owed == {}
+    assert history.unserved_requests == {}
     history.note(demands, held=(), now_s=4.0)
     history.note(demands, held=(), now_s=60.0)
-    assert history.owed == {}
+    assert history.unserved_requests == {}
 
 
 def test_engines_that_restarted_empty_all_load_at_once() -> None:
@@ -279,12 +279,12 @@
     # rest stayed empty and most requests for the busy models were refused.
     engines = [an_engine_view(f"e{number}") for number in range(4)]
     engines += [
-        an_engine_view("e4", "m0", settled=False),
-        an_engine_view("e5", "m0", settled=False),
+        an_engine_view("e4", "m0", accepts_orders=False),
+        an_engine_view("e5", "m0", accepts_orders=False),
     ]
     demands = {
-        "m0": ModelDemand(1.6, 0, asked_per_s=13.0),
-        "m1": ModelDemand(0.8, 9, asked_per_s=9.0),
+        "m0": ModelDemand(1.6, 0, requests_per_s=13.0),
+        "m1": ModelDemand(0.8, 9, requests_per_s=9.0),
     }
     swaps = plan(*engines, demands=demands)
     assert len(swaps) == 4
--- a/tests/test_engine_strain.py
+++ b/tests/test_engine_strain.py
@@ -18,11 +18,11 @@
 
 
 def decode_heavy(per_s: float) -> Workload:
-    return Workload(prefill_share=0.014 * per_s, asked_per_s=per_s, running=1.5 * per_s)
+    return Workload(prefill_share=0.014 * per_s, requests_per_s=per_s, running=1.5 * per_s)
 
 
 def prefill_heavy(per_s: float) -> Workload:
-    return Workload(prefill_share=0.125 * per_s, asked_per_s=per_s, running=0.4 * per_s)
+    return Workload(prefill_share=0.125 * per_s, requests_per_s=per_s, running=0.4 * per_s)
 
 
 def test_prompt_bursts_stall_long_streams_on_a_lightly_used_engine() -> None:
@@ -87,9 +87,9 @@
     # rounds to zero. Each plan of the placement lease holder then failed with
     # a division by zero, and no model was loaded any more.
     for workload in (
-        Workload(prefill_share=tiny, asked_per_s=1.0, running=1.0),
-        Workload(prefill_share=0.1, asked_per_s=tiny, running=1.0),
-        Workload(prefill_share=tiny, asked_per_s=10 * tiny, running=0.0),
+        Workload(prefill_share=tiny, requests_per_s=1.0, running=1.0),
+        Workload(prefill_share=0.1, requests_per_s=tiny, running=1.0),
+        Workload(prefill_share=tiny, requests_per_s=10 * tiny, running=0.0),
     ):
         assert stalled_stream_share(workload, PREFILL_HEAVY) == 0.0
         late = late_per_s(workload, PREFILL_HEAVY)
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -4,7 +4,7 @@
 
 from entry_builders import an_entry
 
-from rosepath.fleet import Fleet, Flight, LeavingServer
+from rosepath.fleet import Fleet, InFlightRequest, LeavingServer
 
 
 def test_restarted_server_starts_with_fresh_state() -> None:
@@ -14,7 +14,7 @@
     fleet = Fleet()
     assert not fleet.put(replace(an_entry("e1"), born_ms=100))
     previous = fleet.servers["e1"]
-    previous.flights["q1"] = Flight(target="m0")
+    previous.in_flight_requests["q1"] = InFlightRequest(target="m0")
     previous.error_rate, previous.failures = 0.9, 5
     assert fleet.put(replace(an_entry("e1", models={}), born_ms=200))
     restarted = fleet.servers["e1"]
--- a/tests/test_order_dispatcher.py
+++ b/tests/test_order_dispatcher.py
@@ -18,7 +18,7 @@
     OrderReply,
 )
 from rosepath.errors import ExchangeError, Step
-from rosepath.fleet import Fleet, Flight, PeerLoad
+from rosepath.fleet import Fleet, InFlightRequest, PeerLoad
 from rosepath.order_dispatcher import (
     REPORT_INTERVAL_S,
     DispatcherPorts,
@@ -200,7 +200,7 @@
         assert engine.models["m0"] == {"a1", "a3"}
         assert not engine.busy
         # With every slot in use, the request goes to another engine.
-        fleet.servers["e1"].flights["q1"] = Flight(target="m0/a3")
+        fleet.servers["e1"].in_flight_requests["q1"] = InFlightRequest(target="m0/a3")
         clock.advance(1.0)
         assert not await dispatcher.ensure_adapter("llm", "e1", "m0", "a2")
         assert engine.models["m0"] == {"a1", "a3"}
--- a/tests/test_server_notices.py
+++ b/tests/test_server_notices.py
@@ -331,10 +331,10 @@
     server = a_server("e1")
     record = EngineRecord(server="e1", known=True)
     spec = an_engine_spec("m0")
-    assert engine_view(server, record, spec, now_s=1000.0).settled
+    assert engine_view(server, record, spec, now_s=1000.0).accepts_orders
     note_backoff(server, retry_after_s=3.0, now_s=1000.0)
-    assert not engine_view(server, record, spec, now_s=1002.9).settled
-    assert engine_view(server, record, spec, now_s=1003.1).settled
+    assert not engine_view(server, record, spec, now_s=1002.9).accepts_orders
+    assert engine_view(server, record, spec, now_s=1003.1).accepts_orders
 
 
 @dataclass(slots=True)
