--- a/src/rosepath/attempt.py
+++ b/src/rosepath/attempt.py
@@ -58,7 +58,7 @@
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
-class Answer:
+class ServerResponse:
     """Hold a backend server's response; `body` omits events of a stream."""
 
     head: ResponseHead
@@ -89,7 +89,7 @@
     deadline_s: float
     response_timeout_s: float
     stall_timeout_s: float
-    repeatable: bool
+    retryable: bool
     priority: int | None = None
     last_event_id: int | None = None
     still_wanted: Callable[[], bool] = lambda: True
@@ -100,7 +100,7 @@
 OnEvents = Callable[[ResponseHead, bytes], Awaitable[None] | None]
 
 
-class Attempts:
+class AttemptSender:
     """Send attempts over pooled connections."""
 
     def __init__(self, pool: HttpPool, *, clock: Clock) -> None:
@@ -115,7 +115,7 @@
         *,
         event_sequence: EventSequence | None = None,
         on_events: OnEvents | None = None,
-    ) -> Answer:
+    ) -> ServerResponse:
         """Run one attempt; raises AttemptError.
 
         With `on_events`, the events of a successful response are passed on as
@@ -155,7 +155,7 @@
             connect_timeout_s=min(CONNECT_TIMEOUT_S, options.deadline_s - now_s),
             progress_timeout_s=options.response_timeout_s,
             pause_timeout_s=options.stall_timeout_s,
-            proven_live_within_s=None if options.repeatable else PROVEN_LIVE_WITHIN_S,
+            proven_live_within_s=None if options.retryable else PROVEN_LIVE_WITHIN_S,
             accepts=lambda head: belongs_to(call, head.headers),
             still_wanted=options.still_wanted,
             may_break_off=options.may_break_off,
@@ -208,7 +208,7 @@
                 lost=True,
                 answered=True,
             )
-        return Answer(head=head, facts=facts, body=b"".join(body))
+        return ServerResponse(head=head, facts=facts, body=b"".join(body))
 
     def _attempt_error(
         self,
--- a/src/rosepath/call_deadline.py
+++ b/src/rosepath/call_deadline.py
@@ -12,12 +12,12 @@
         self._loop = asyncio.get_running_loop()
         self._timer = self._loop.call_later(limit_s, self._expire)
 
-    def put_off(self, limit_s: float) -> None:
+    def extend(self, limit_s: float) -> None:
         """Restart the timer with a new limit."""
         self._timer.cancel()
         self._timer = self._loop.call_later(limit_s, self._expire)
 
-    def lift(self) -> None:
+    def disable(self) -> None:
         """Stop the timer, so that the call has no time limit."""
         self._timer.cancel()
 
--- a/src/rosepath/catalog.py
+++ b/src/rosepath/catalog.py
@@ -44,7 +44,7 @@
     resumable: bool = False
 
     @property
-    def repeatable(self) -> bool:
+    def retryable(self) -> bool:
         """Tell whether a request that may have run may be run again."""
         if self.kind is RouteKind.STREAMING:
             return self.resumable
--- a/src/rosepath/deadlines.py
+++ b/src/rosepath/deadlines.py
@@ -8,7 +8,7 @@
 
 
 @asynccontextmanager
-async def ended_in_time(left_s: float, peer: str) -> AsyncIterator[None]:
+async def exchange_timeout(left_s: float, peer: str) -> AsyncIterator[None]:
     """Cancel an exchange after `left_s`; raises ExchangeError.
 
     The stall checks alone run too rarely to end an exchange with a silent
--- a/src/rosepath/dispatch.py
+++ b/src/rosepath/dispatch.py
@@ -9,7 +9,7 @@
 
 from rosepath.backend import BackendPort, Generation, NotRunError, OnBytes, SendPolicy
 from rosepath.clock import Clock
-from rosepath.deadlines import ended_in_time
+from rosepath.deadlines import exchange_timeout
 from rosepath.errors import ExchangeError, RefusalError, Run, Step, refuse
 from rosepath.logs import get_logger
 from rosepath.prefixes import PrefixIndex, prefix_keys
@@ -18,8 +18,8 @@
     Evidence,
     RetryBudget,
     Verdict,
-    judge,
-    run_of,
+    decide_retry,
+    run_from_evidence,
     worst_evidence,
 )
 from rosepath.routing import (
@@ -145,7 +145,7 @@
         ) as span:
             replica.own_starts[key] = started_s
             try:
-                async with ended_in_time(terms.deadline_s - started_s, replica.name):
+                async with exchange_timeout(terms.deadline_s - started_s, replica.name):
                     await self.backend.generate(
                         replica.address,
                         replace(generation, traceparent=traceparent_of(span)),
@@ -213,7 +213,7 @@
             return True
         if not has_capacity_elsewhere(replicas, target, unfit=unfit):
             return False
-        return judge(attempt, self.budget) is not Verdict.GIVE_UP
+        return decide_retry(attempt, self.budget) is not Verdict.GIVE_UP
 
     def _cancel_later(self, replica: Replica, request_id: str) -> None:
         asyncio.ensure_future(self.backend.cancel(replica.address, request_id))
@@ -307,7 +307,7 @@
         course.tried.add(replica.name)
         if isinstance(error, NotRunError):
             course.refused.add(replica.name)
-        verdict = judge(
+        verdict = decide_retry(
             self._as_attempt(evidence, terms, course, attempts=course.attempts),
             self.budget,
         )
@@ -368,7 +368,7 @@
 
     def _given_up(self, course: _Course) -> RefusalError:
         evidence = worst_evidence(course.evidence)
-        run = run_of(evidence)
+        run = run_from_evidence(evidence)
         return refuse(
             503 if run is Run.NO else 502,
             "backend_failed",
--- a/src/rosepath/entry_node.py
+++ b/src/rosepath/entry_node.py
@@ -8,7 +8,7 @@
 from tornado.httpserver import HTTPServer
 from tornado.web import Application, RequestHandler
 
-from rosepath.attempt import Attempts
+from rosepath.attempt import AttemptSender
 from rosepath.catalog import Catalog
 from rosepath.clock import BootClock, SystemClock
 from rosepath.configuration_copies import (
@@ -176,7 +176,7 @@
                 clock=self.clock,
                 fleet=self.tables.fleet,
                 caches=self.caches,
-                attempts=Attempts(self.pool, clock=self.clock),
+                attempts=AttemptSender(self.pool, clock=self.clock),
                 catalog=lambda: self.tables.catalog,
                 budget=self._budget,
                 models=self.coordinator,
@@ -186,7 +186,7 @@
                 on_outcome=self.records.note,
                 crashes=self.crashes,
                 on_leaving=self._heed_leaving,
-                fleet_sound=lambda: self.tables.sound,
+                fleet_fresh_enough=lambda: self.tables.sound,
                 make_sure=self.tables.make_sure,
                 configuration=self._configuration_view,
             )
--- a/src/rosepath/platform/store.py
+++ b/src/rosepath/platform/store.py
@@ -238,7 +238,7 @@
 
         def note_arrival() -> None:
             if pause_s is not None:
-                deadline.put_off(pause_s)
+                deadline.extend(pause_s)
 
         exchanging = asyncio.ensure_future(
             self._pool.exchange(request, on_head=note_head, on_data=note_part)
@@ -250,7 +250,7 @@
                 raise TimeoutError
             return exchanging.result(), b"".join(parts)
         finally:
-            deadline.lift()
+            deadline.disable()
             exchanging.cancel()
             await asyncio.wait([exchanging])
 
--- a/src/rosepath/relay.py
+++ b/src/rosepath/relay.py
@@ -7,7 +7,7 @@
 
 from tornado.httputil import HTTPHeaders
 
-from rosepath.attempt import Answer, AttemptError, AttemptOptions
+from rosepath.attempt import ServerResponse, AttemptError, AttemptOptions
 from rosepath.caller_call import BadRequestError, CallerCall
 from rosepath.catalog import HostRoute, RouteKind
 from rosepath.crash_watch import life_of
@@ -163,7 +163,7 @@
             try:
                 answer = await self._attempt(context, server, flight)
             except AttemptError as error:
-                context.seen.append(error.evidence)
+                context.attempt_evidence.append(error.evidence)
                 self._note_failed(context, server, error)
                 await self._suspects.note_failed(context, server, flight, error)
                 await self._retry_policy.wait_to_retry(context, error)
@@ -178,7 +178,7 @@
             return
 
     async def _retry_error_response(
-        self, context: RequestContext, server: BackendServer, answer: Answer
+        self, context: RequestContext, server: BackendServer, answer: ServerResponse
     ) -> bool:
         """Return whether to retry a request that got an error response.
 
@@ -188,7 +188,7 @@
         if answer.head.status < 500 and not context.exchange.begun:
             return False
         context.tried.add(server.name)
-        context.seen.append(Evidence.SENT)
+        context.attempt_evidence.append(Evidence.SENT)
         note_error(server)
         error = AttemptError(
             f"the server answered {answer.head.status}",
@@ -208,7 +208,7 @@
 
     async def _attempt(
         self, context: RequestContext, server: BackendServer, flight: InFlightRequest
-    ) -> Answer:
+    ) -> ServerResponse:
         def on_events(head: ResponseHead, events: bytes) -> Awaitable[None] | None:
             server.last_activity_s = self._now_s()
             context.note_events(now_s=server.last_activity_s)
@@ -226,7 +226,7 @@
             deadline_s=context.deadline_s,
             response_timeout_s=self._retry_policy.response_timeout_s(context, server),
             stall_timeout_s=self._retry_policy.stall_timeout_s(context),
-            repeatable=context.route.repeatable,
+            retryable=context.route.retryable,
             priority=None
             if context.service.engine is None
             else _engine_priority(context.route),
@@ -238,7 +238,7 @@
             still_wanted=lambda: (
                 server.usable
                 and not server.in_backoff(self._now_s())
-                and self._ports.fleet_sound()
+                and self._ports.fleet_fresh_enough()
                 and self._suspects.may_be_sent(context)
             ),
             may_break_off=lambda: self._retry_policy.should_leave(context, server),
@@ -287,7 +287,7 @@
             peer=server.name,
             why=error.message,
             evidence=error.evidence.value,
-            tries=len(context.seen),
+            tries=len(context.attempt_evidence),
             moved_ago_s=server.moved_ago_s(self._now_s()),
             **lost_run_fields(context, server, error),
         )
@@ -313,7 +313,7 @@
                 server.held.pop(prompt.model, None)
 
     def _finish(
-        self, context: RequestContext, server: BackendServer, answer: Answer
+        self, context: RequestContext, server: BackendServer, answer: ServerResponse
     ) -> None:
         context.answered_by = server.name
         exchange = context.exchange
@@ -350,7 +350,7 @@
             why=refusal.message,
             step=refusal.step.value,
             peer=refusal.peer,
-            tries=len(context.seen),
+            tries=len(context.attempt_evidence),
             age_s=round(self._now_s() - context.call.arrived_s, 3),
             cut=cut,
             obstacle=context.obstacle,
--- a/src/rosepath/request_context.py
+++ b/src/rosepath/request_context.py
@@ -7,7 +7,7 @@
 from functools import cached_property
 from typing import Protocol
 
-from rosepath.attempt import Attempts
+from rosepath.attempt import AttemptSender
 from rosepath.caller_call import CallerCall, Prompt
 from rosepath.catalog import Catalog, HostRoute, ServiceSpec
 from rosepath.clock import Clock
@@ -57,7 +57,7 @@
     clock: Clock
     fleet: Fleet
     caches: PromptCaches
-    attempts: Attempts
+    attempts: AttemptSender
     catalog: Callable[[], Catalog | None]
     budget: Callable[[str], RetryWindow]
     models: ModelPort
@@ -72,7 +72,7 @@
     on_leaving: Callable[[BackendServer], None] = lambda _: None
     # Whether the known fleet is current enough to route by, and the refresh
     # that makes it current.
-    fleet_sound: Callable[[], bool] = lambda: True
+    fleet_fresh_enough: Callable[[], bool] = lambda: True
     make_sure: Callable[[], Awaitable[None]] = _skip_refresh
     # Version and age of the catalog.
     configuration: Callable[[], ConfigurationView] = lambda: UNKNOWN_CONFIGURATION
@@ -92,7 +92,7 @@
     configuration: ConfigurationView = UNKNOWN_CONFIGURATION
     event_sequence: EventSequence | None = None
     tried: set[str] = field(default_factory=set)
-    seen: list[Evidence] = field(default_factory=list)
+    attempt_evidence: list[Evidence] = field(default_factory=list)
     first_event_s: float | None = None
     last_event_s: float = 0.0
     longest_pause_s: float = 0.0
@@ -125,19 +125,19 @@
     def possibly_run_count(self) -> int:
         """Return the number of attempts that a server may have run."""
         not_run = (Evidence.NOT_SENT, Evidence.REFUSED)
-        return sum(evidence not in not_run for evidence in self.seen)
+        return sum(evidence not in not_run for evidence in self.attempt_evidence)
 
     @property
     def sent_count(self) -> int:
         """Return the number of attempts that reached a server."""
-        return sum(evidence is not Evidence.NOT_SENT for evidence in self.seen)
+        return sum(evidence is not Evidence.NOT_SENT for evidence in self.attempt_evidence)
 
     @property
     def not_run(self) -> bool:
         return self.possibly_run_count == 0
 
     @property
-    def lost_if_refused(self) -> bool:
+    def caller_cannot_retry(self) -> bool:
         """Return whether a refusal would lose the request for its caller.
 
         Callers retry requests that were refused without having run, and
--- a/src/rosepath/request_records.py
+++ b/src/rosepath/request_records.py
@@ -19,8 +19,8 @@
         """Count a request that was answered, and log what decided its context."""
         kind = context.route.kind.value
         self._metrics.count("requests", kind=kind, status=str(status), code=code)
-        if context.seen:
-            self._metrics.count("tries_failed", kind=kind, last=context.seen[-1].value)
+        if context.attempt_evidence:
+            self._metrics.count("tries_failed", kind=kind, last=context.attempt_evidence[-1].value)
         call, arrived_s = context.call, context.call.arrived_s
         first_s = context.first_event_s
         took_s = self._clock.monotonic_s() - arrived_s
@@ -36,7 +36,7 @@
             code=code,
             peer=context.answered_by,
             target=call.prompt.target if call.prompt else "",
-            tries=len(context.seen),
+            tries=len(context.attempt_evidence),
             waited_s=round(context.waited_s, 3),
             unread_tokens=context.unread_tokens,
             predicted_s=round(context.predicted_s, 3),
--- a/src/rosepath/retries.py
+++ b/src/rosepath/retries.py
@@ -101,7 +101,7 @@
     return None if reserve_retry() else Obstacle.BUDGET_SPENT
 
 
-def judge(attempt: Attempt, budget: Budget) -> Verdict:
+def decide_retry(attempt: Attempt, budget: Budget) -> Verdict:
     """Decide whether to retry; takes a retry from the budget if so."""
     if find_obstacle(attempt, budget.spend) is not None:
         return Verdict.GIVE_UP
@@ -110,7 +110,7 @@
     return Verdict.RETRY
 
 
-def run_of(evidence: Evidence) -> Run:
+def run_from_evidence(evidence: Evidence) -> Run:
     """Return whether the request ran, as far as the evidence proves it."""
     if evidence in (Evidence.NOT_SENT, Evidence.REFUSED):
         return Run.NO
--- a/src/rosepath/retry_policy.py
+++ b/src/rosepath/retry_policy.py
@@ -65,7 +65,7 @@
         Such an attempt is not ended for silence: nothing would be gained, and
         a stream would be lost to its caller.
         """
-        if not context.route.repeatable:
+        if not context.route.retryable:
             return True
         if context.possibly_run_count + 1 >= context.route.max_attempts:
             return True
@@ -128,7 +128,7 @@
     def _as_attempt(self, context: RequestContext, error: AttemptError) -> Attempt:
         return Attempt(
             evidence=error.evidence,
-            idempotent=context.route.repeatable,
+            idempotent=context.route.retryable,
             resumable=context.route.resumable,
             attempts=context.possibly_run_count,
             max_attempts=context.route.max_attempts,
@@ -138,7 +138,7 @@
 
     def obstacle(self, context: RequestContext, error: AttemptError) -> Obstacle | None:
         """Return what prevents a retry; if nothing does, reserve one."""
-        if context.sent_count >= MAX_SENT_ATTEMPTS and not context.lost_if_refused:
+        if context.sent_count >= MAX_SENT_ATTEMPTS and not context.caller_cannot_retry:
             return Obstacle.TOO_MANY_REFUSALS
         return find_obstacle(
             self._as_attempt(context, error), lambda: self._reserve_retry(context)
@@ -150,7 +150,7 @@
         A request that its caller cannot retry waits until its deadline for
         capacity and for a retry in the budget.
         """
-        must_wait = context.lost_if_refused
+        must_wait = context.caller_cannot_retry
         if must_wait and context.sent_count >= MAX_SENT_ATTEMPTS:
             await self._pause(context)
         while (obstacle := self.obstacle(context, error)) is not None:
--- a/src/rosepath/server_picker.py
+++ b/src/rosepath/server_picker.py
@@ -50,7 +50,7 @@
         started_s = self._now_s()
         wait_until_s = self._wait_limit_s(context, started_s)
         if context.service.engine is not None:
-            if context.call.prompt is not None and not context.seen:
+            if context.call.prompt is not None and not context.attempt_evidence:
                 self._ports.models.note_request_received(context.service.name, context.call.prompt)
         with self._counted_waiting(context) as count_waiting:
             return await self._choose_until(
@@ -65,7 +65,7 @@
         and the engine needs part of that time. A request that would be lost if
         refused waits until its deadline.
         """
-        if context.lost_if_refused:
+        if context.caller_cannot_retry:
             return context.deadline_s
         if context.service.engine is None:
             return min(started_s + NO_SERVER_WAIT_S, context.deadline_s)
@@ -126,7 +126,7 @@
         another VM. A stream that was interrupted to resume elsewhere has no
         such limit: if refused, it is lost to its caller.
         """
-        return math.inf if context.lost_if_refused else self._ports.wait_limit_s()
+        return math.inf if context.caller_cannot_retry else self._ports.wait_limit_s()
 
     def _refuse_if_quarantined(self, context: RequestContext) -> None:
         if self._suspects.suspicion(context) is not Suspicion.QUARANTINED:
@@ -148,7 +148,7 @@
         self, context: RequestContext, started_s: float, wait_until_s: float
     ) -> None:
         """Refuse a request that can't be served while its caller waits."""
-        if context.lost_if_refused:
+        if context.caller_cannot_retry:
             return
         prompt, now_s = context.call.prompt, self._now_s()
         eligible = self._eligible_servers(context)
--- a/src/rosepath/services.py
+++ b/src/rosepath/services.py
@@ -6,7 +6,7 @@
 
 from opentelemetry import trace
 
-from rosepath.deadlines import ended_in_time
+from rosepath.deadlines import exchange_timeout
 from rosepath.dispatch import Dispatcher, Terms
 from rosepath.errors import ExchangeError, RefusalError, Run, Step, refuse
 from rosepath.http_client import HttpPool, Request, ResponseHead
@@ -14,8 +14,8 @@
     Attempt,
     Evidence,
     Verdict,
-    judge,
-    run_of,
+    decide_retry,
+    run_from_evidence,
     worst_evidence,
 )
 from rosepath.retry_after import read_retry_after_s
@@ -231,7 +231,7 @@
             )
             replica.own_starts[key] = started_s
             try:
-                async with ended_in_time(terms.deadline_s - started_s, replica.name):
+                async with exchange_timeout(terms.deadline_s - started_s, replica.name):
                     head = await self._pool.exchange(
                         request, on_head=answer.take_head, on_data=answer.take_data
                     )
@@ -259,7 +259,7 @@
         seen = course.seen
         attempt = _as_attempt(seen[-1], call, terms, course, attempts=len(seen))
         course.paid = False
-        if judge(attempt, self._dispatcher.budget) is Verdict.GIVE_UP:
+        if decide_retry(attempt, self._dispatcher.budget) is Verdict.GIVE_UP:
             raise _given_up(seen, replica.name, error)
 
 
@@ -287,7 +287,7 @@
 def _given_up(
     seen: list[Evidence], peer: str, error: str, *, retry_after_s: float = 1.0
 ) -> RefusalError:
-    run = run_of(worst_evidence(seen))
+    run = run_from_evidence(worst_evidence(seen))
     return refuse(
         503 if run is Run.NO else 502,
         "backend_failed",
--- a/src/rosepath/suspects.py
+++ b/src/rosepath/suspects.py
@@ -2,7 +2,7 @@
 
 from typing import Any
 
-from rosepath.attempt import Answer, AttemptError
+from rosepath.attempt import ServerResponse, AttemptError
 from rosepath.clock import Clock
 from rosepath.crash_records import Exposure, Suspicion
 from rosepath.crash_watch import CrashWatch, LostRun
@@ -71,7 +71,7 @@
                 context.content_key, request_id=context.call.request_id
             )
 
-    def clear(self, context: RequestContext, answer: Answer) -> None:
+    def clear(self, context: RequestContext, answer: ServerResponse) -> None:
         """Note that a run completed, so that the request crashes no servers.
 
         An answer that ends with its connection may have been cut by a crash.
--- a/tests/entry_harness.py
+++ b/tests/entry_harness.py
@@ -9,7 +9,7 @@
 
 from entry_builders import a_catalog, a_crash_watch, a_route, an_entry
 
-from rosepath.attempt import Attempts
+from rosepath.attempt import AttemptSender
 from rosepath.catalog import Catalog, HostRoute
 from rosepath.clock import SystemClock
 from rosepath.configuration_view import UNKNOWN_CONFIGURATION, ConfigurationView
@@ -191,7 +191,7 @@
             clock=clock,
             fleet=fleet,
             caches=PromptCaches(),
-            attempts=Attempts(pool, clock=clock),
+            attempts=AttemptSender(pool, clock=clock),
             catalog=lambda: catalog,
             budget=lambda _: window,
             models=NoModels(),
--- a/tests/test_retries.py
+++ b/tests/test_retries.py
@@ -10,8 +10,8 @@
     RetryBudget,
     Verdict,
     find_obstacle,
-    judge,
-    run_of,
+    decide_retry,
+    run_from_evidence,
     worst_evidence,
 )
 
@@ -30,7 +30,7 @@
 
 def test_a_non_idempotent_request_is_retried_only_if_it_did_not_run() -> None:
     verdicts = {
-        evidence: judge(attempt(evidence, idempotent=False), RetryBudget())
+        evidence: decide_retry(attempt(evidence, idempotent=False), RetryBudget())
         for evidence in Evidence
     }
     assert verdicts == {
@@ -42,13 +42,13 @@
 
 
 def test_a_request_is_reported_as_not_run_only_on_proof() -> None:
-    runs = {evidence: run_of(evidence) for evidence in Evidence}
+    runs = {evidence: run_from_evidence(evidence) for evidence in Evidence}
     assert [e for e, run in runs.items() if run is Run.NO] == [
         Evidence.NOT_SENT,
         Evidence.REFUSED,
     ]
     seen = [Evidence.SENT, Evidence.NOT_SENT]
-    assert run_of(worst_evidence(seen)) is Run.UNKNOWN
+    assert run_from_evidence(worst_evidence(seen)) is Run.UNKNOWN
 
 
 @given(st.integers(1, 2000))
@@ -57,15 +57,15 @@
     retries = 0
     for _ in range(requests):
         budget.earn()
-        retries += judge(attempt(Evidence.SENT), budget) is Verdict.RETRY
+        retries += decide_retry(attempt(Evidence.SENT), budget) is Verdict.RETRY
     assert retries <= 0.1 * requests + 3
 
 
 def test_the_deadline_and_the_attempt_limit_prevent_a_retry() -> None:
     late = attempt(Evidence.NOT_SENT, left_s=0.0)
     many = attempt(Evidence.NOT_SENT, attempts=4)
-    assert judge(late, RetryBudget()) is Verdict.GIVE_UP
-    assert judge(many, RetryBudget()) is Verdict.GIVE_UP
+    assert decide_retry(late, RetryBudget()) is Verdict.GIVE_UP
+    assert decide_retry(many, RetryBudget()) is Verdict.GIVE_UP
 
 
 def test_the_obstacle_to_another_attempt_is_named() -> None:
--- a/tests/test_stream_pauses.py
+++ b/tests/test_stream_pauses.py
@@ -39,7 +39,7 @@
 
 
 def a_context(
-    *seen: Evidence, clock: ManualClock, max_attempts: int, resumable: bool
+    *attempt_evidence: Evidence, clock: ManualClock, max_attempts: int, resumable: bool
 ) -> RequestContext:
     catalog = a_catalog(a_route(max_attempts=max_attempts, resumable=resumable))
     return RequestContext(
@@ -49,7 +49,7 @@
         exchange=cast(Any, None),
         deadline_s=clock.monotonic_s() + LEFT_S,
         event_sequence=EventSequence(last_id=None),
-        seen=list(seen),
+        attempt_evidence=list(attempt_evidence),
     )
 
 
--- a/tests/timed_engines.py
+++ b/tests/timed_engines.py
@@ -10,7 +10,7 @@
 from tornado.httputil import HTTPHeaders
 from virtual_time import LoopClock, VirtualLoop
 
-from rosepath.attempt import Attempts
+from rosepath.attempt import AttemptSender
 from rosepath.caller_call import Prompt
 from rosepath.catalog import HostRoute, RouteKind
 from rosepath.crash_watch import CrashWatch
@@ -260,7 +260,7 @@
         clock=clock,
         fleet=fleet,
         caches=PromptCaches(),
-        attempts=Attempts(pool, clock=clock),
+        attempts=AttemptSender(pool, clock=clock),
         catalog=lambda: catalog,
         budget=lambda _: window,
         models=NoModels(),
