--- a/src/rosepath/engine_orders.py
+++ b/src/rosepath/engine_orders.py
@@ -83,7 +83,7 @@
     born_ms: int = 0
     sequence: int = 0
     has_report: bool = False
-    known: bool = False
+    is_current: bool = False
     swap_in_progress: bool = False
     engine_busy: bool = False
     loading: str = ""
@@ -111,7 +111,7 @@
         if report.sequence < self.sequence:
             return False
         self.sequence = report.sequence
-        self.has_report = self.known = True
+        self.has_report = self.is_current = True
         self.engine_busy = report.busy
         self.models = set(report.models)
         names = {
@@ -126,7 +126,7 @@
         """Clear what was recorded about the engine's previous instance."""
         self.born_ms = born_ms
         self.sequence = 0
-        self.known = False
+        self.is_current = False
         self.models.clear()
         self.loaded_s.clear()
         self.adapters.clear()
--- a/src/rosepath/engine_views.py
+++ b/src/rosepath/engine_views.py
@@ -27,7 +27,7 @@
             model: now_s - record.loaded_s.get(model, -1e9) for model in record.models
         },
         in_use=server.models_in_use,
-        accepts_orders=record.known
+        accepts_orders=record.is_current
         and not record.occupied
         and not server.in_backoff(now_s)
         and server.entry.remaining_s is None,
--- a/src/rosepath/held_moves.py
+++ b/src/rosepath/held_moves.py
@@ -5,7 +5,7 @@
 
 from rosepath.clock import Clock
 from rosepath.fleet import Fleet
-from rosepath.peer_messages import HeldMove, PeerState
+from rosepath.peer_messages import ResidencyChange, PeerState
 from rosepath.prompt_caches import PromptCaches
 
 # How long a change is sent to peers; by then the engine's own entry shows it.
@@ -15,7 +15,7 @@
 OCCUPIED_TTL_S = 0.5
 
 
-class HeldMoves:
+class ResidencyChanges:
     """Own the recent changes by this VM's orders; apply all VMs' to the fleet.
 
     Each VM numbers its changes from its start, so that a change received in
@@ -36,14 +36,14 @@
         self._caches = caches
         self._changed = changed
         self._announce = tell
-        self._recent: deque[tuple[float, HeldMove]] = deque()
+        self._recent: deque[tuple[float, ResidencyChange]] = deque()
         self._last_number = 0
         self._last_applied: dict[tuple[str, str], int] = {}
 
-    def note(self, name: str, model: str, adapter: str, there: bool) -> None:
+    def note(self, name: str, model: str, adapter: str, present: bool) -> None:
         """Apply and publish a change made by this VM's own order."""
         self._last_number += 1
-        move = HeldMove(self._last_number, name, model, adapter, there)
+        move = ResidencyChange(self._last_number, name, model, adapter, present)
         self._recent.append((self._clock.monotonic_s(), move))
         self._apply(move)
         if not adapter:
@@ -52,7 +52,7 @@
             # 0.15 s away.
             self._announce()
 
-    def recent(self) -> list[HeldMove]:
+    def recent(self) -> list[ResidencyChange]:
         """Return the recent changes made by this VM's own orders."""
         limit_s = self._clock.monotonic_s() - CHANGES_PUBLISHED_S
         while self._recent and self._recent[0][0] < limit_s:
@@ -72,14 +72,14 @@
             if name in self._fleet.servers:
                 self._fleet.servers[name].order_busy_until_s = until_s
 
-    def _apply(self, move: HeldMove) -> None:
+    def _apply(self, move: ResidencyChange) -> None:
         server = self._fleet.servers.get(move.server)
         if server is None:
             return
         if move.adapter:
             adapters = server.held.get(move.model, set())
-            (adapters.add if move.there else adapters.discard)(move.adapter)
-        elif move.there:
+            (adapters.add if move.present else adapters.discard)(move.adapter)
+        elif move.present:
             server.held.setdefault(move.model, set())
         else:
             server.held.pop(move.model, None)
--- a/src/rosepath/leases.py
+++ b/src/rosepath/leases.py
@@ -136,7 +136,7 @@
     """
 
     version: int
-    acted_s: float
+    last_action_s: float
 
 
 def may_take_over(
@@ -182,7 +182,7 @@
     if row.version == 0 or not pause_s:
         return -1e9
     if resigned is not None and resigned.version >= row.version:
-        return resigned.acted_s + pause_s
+        return resigned.last_action_s + pause_s
     if not row.holder:
         return first_seen_s + pause_s
     # The holder stops its margin before the end of its lease, or of the
--- a/src/rosepath/order_dispatcher.py
+++ b/src/rosepath/order_dispatcher.py
@@ -53,9 +53,9 @@
     fence: Callable[[], int]
     demand: Callable[[str], Mapping[str, ModelDemand]]
     # Bounds the age of what other VMs report as running on an engine.
-    told_every_s: Callable[[], float]
+    peer_update_interval_s: Callable[[], float]
     # Called with engine, model, adapter and whether it is now loaded.
-    on_held: Callable[[str, str, str, bool], None]
+    on_residency_change: Callable[[str, str, str, bool], None]
 
 
 class OrderDispatcher:
@@ -84,7 +84,7 @@
             sender=self.sender,
             read_report=self._read_report,
             lock=self._lock,
-            on_held=ports.on_held,
+            on_residency_change=ports.on_residency_change,
         )
         self._swaps: set[asyncio.Task[None]] = set()
 
@@ -197,7 +197,7 @@
         # An engine that reports an order in progress (an adapter, or an order
         # of a previous holder) is polled until it is idle. Swaps poll by
         # themselves.
-        due = not record.swap_in_progress and (record.engine_busy or not record.known)
+        due = not record.swap_in_progress and (record.engine_busy or not record.is_current)
         if (
             due
             and not server.in_backoff(now_s)
@@ -235,10 +235,10 @@
             record = self._current_record(server)
             if server.in_backoff(self._ports.clock.monotonic_s()):
                 return name in record.adapters
-            if not record.known:
+            if not record.is_current:
                 await self._read_report(server, record)
             now_s = self._ports.clock.monotonic_s()
-            if not record.known or model not in record.models:
+            if not record.is_current or model not in record.models:
                 return False
             if name in record.adapters:
                 record.adapters[name] = now_s
@@ -256,7 +256,7 @@
                 return False
             record.adapters[name] = now_s
         await asyncio.sleep(ADAPTER_LOAD_WAIT_S)
-        self._ports.on_held(server_name, model, adapter, True)
+        self._ports.on_residency_change(server_name, model, adapter, True)
         return True
 
     async def _free_adapter_slot(
@@ -272,7 +272,7 @@
         # other order meanwhile: requests for other adapters there would wait
         # as long.
         keep_s = (
-            ADAPTER_KEEP_MIN_S + ADAPTER_KEEP_INTERVALS * self._ports.told_every_s()
+            ADAPTER_KEEP_MIN_S + ADAPTER_KEEP_INTERVALS * self._ports.peer_update_interval_s()
         )
         in_use = server.targets_in_use
         idle = [
@@ -290,7 +290,7 @@
         if reply not in (OrderReply.ACCEPTED, OrderReply.HOLDS):
             return False
         del record.adapters[victim]
-        self._ports.on_held(server.name, victim_model, adapter, False)
+        self._ports.on_residency_change(server.name, victim_model, adapter, False)
         return True
 
     @property
--- a/src/rosepath/order_sender.py
+++ b/src/rosepath/order_sender.py
@@ -51,18 +51,18 @@
         self._fence = fence
         self.clock: Clock = BootClock()
         self.outcomes: dict[str, int] = {}
-        self.acted_s = -1e9
+        self.last_action_s = -1e9
 
     def may_order(self) -> bool:
         """Return whether an order may be sent."""
         return not self._closed and self._may_order()
 
     @property
-    def acted_ago_s(self) -> float:
+    def last_action_age_s(self) -> float:
         """Return the time since the last order ended; 0 if one is pending."""
         if self._in_flight:
             return 0.0
-        return max(0.0, self.clock.monotonic_s() - self.acted_s)
+        return max(0.0, self.clock.monotonic_s() - self.last_action_s)
 
     async def close(self) -> None:
         """Send no more orders, and wait until those in flight have ended."""
@@ -101,7 +101,7 @@
             if allowed:
                 if not sent_s:
                     self._in_flight += 1
-                sent_s.append(self.acted_s)
+                sent_s.append(self.last_action_s)
                 on_sent()
             return allowed
 
@@ -120,7 +120,7 @@
             reply: OrderReply | None = None
             why = ""
             sent_s.clear()
-            self.acted_s = self.clock.monotonic_s()
+            self.last_action_s = self.clock.monotonic_s()
             self._pending += 1
             try:
                 # The VM may be suspended while it connects, and the lease may
@@ -134,18 +134,18 @@
                 self._pending -= 1
                 if sent_s:
                     self._in_flight -= 1
-                    self.acted_s = self.clock.monotonic_s()
+                    self.last_action_s = self.clock.monotonic_s()
             self._record_outcome(
                 order, reply, why, sent_s=sent_s[0] if sent_s else None
             )
             if reply is not None and _advances_sequence(order, reply):
                 record.sequence += 1
             if reply is OrderReply.CONFLICT:
-                record.known = False
+                record.is_current = False
                 return reply
             if reply is not None:
                 return reply
-        record.known = False
+        record.is_current = False
         return None
 
     def _try_start_sending(self) -> bool:
@@ -156,7 +156,7 @@
         """
         if not self.may_order():
             return False
-        self.acted_s = self.clock.monotonic_s()
+        self.last_action_s = self.clock.monotonic_s()
         return True
 
     def _record_outcome(
--- a/src/rosepath/peer_exchange.py
+++ b/src/rosepath/peer_exchange.py
@@ -151,7 +151,7 @@
             holder_ack=self._coordinator.holder_ack,
             store_ago_s=self._clock.monotonic_s() - self._store.last_success_s,
             resigned_version=self._coordinator.resigned_version,
-            acted_ago_s=self._coordinator.acted_ago_s,
+            last_action_age_s=self._coordinator.last_action_age_s,
             handover=self._coordinator.handover,
             load={} if sends_totals else self._own_loads(),
             demand={} if sends_totals else self._coordinator.own_demand(),
--- a/src/rosepath/peer_messages.py
+++ b/src/rosepath/peer_messages.py
@@ -36,7 +36,7 @@
 NO_HANDOVER = LeaseHandover()
 
 
-class HeldMove(NamedTuple):
+class ResidencyChange(NamedTuple):
     """A model, or one of its adapters, loaded onto or unloaded from an engine.
 
     The number lets receivers apply it once however often it is sent.
@@ -46,7 +46,7 @@
     server: str
     model: str
     adapter: str
-    there: bool
+    present: bool
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
@@ -90,14 +90,14 @@
     complete_ago_s: float = 0.0
     configuration_known_ago_s: float = NEVER_S
     resigned_version: int = 0
-    acted_ago_s: float = 0.0
+    last_action_age_s: float = 0.0
     handover: LeaseHandover = NO_HANDOVER
     load: Mapping[str, PeerLoad] = field(default_factory=dict)
     demand: Mapping[str, Mapping[str, ModelDemand]] = field(default_factory=dict)
     leaving: tuple[LeavingServer, ...] = ()
     down: tuple[str, ...] = ()
     occupied: tuple[str, ...] = ()
-    moves: tuple[HeldMove, ...] = ()
+    moves: tuple[ResidencyChange, ...] = ()
     totals: Mapping[str, PeerLoad] = field(default_factory=dict)
     arrivals: tuple[ModelArrival, ...] = ()
     crashes: tuple[CrashReport, ...] = ()
@@ -221,7 +221,7 @@
             round(message.complete_ago_s, 3),
             round(min(message.configuration_known_ago_s, NEVER_S), 3),
         ],
-        "q": [message.resigned_version, round(message.acted_ago_s, 3)],
+        "q": [message.resigned_version, round(message.last_action_age_s, 3)],
         "i": list(message.handover),
         "l": _encode_loads(message.load),
         "s": _encode_loads(message.totals),
@@ -243,7 +243,7 @@
         "d": list(message.down),
         "u": list(message.occupied),
         "m": [
-            [move.number, move.server, move.model, move.adapter, int(move.there)]
+            [move.number, move.server, move.model, move.adapter, int(move.present)]
             for move in message.moves
         ],
         "cr": [
@@ -274,7 +274,7 @@
         complete_ago_s=float(raw["v"][1]),
         configuration_known_ago_s=float(raw["v"][2]),
         resigned_version=int(raw["q"][0]),
-        acted_ago_s=float(raw["q"][1]),
+        last_action_age_s=float(raw["q"][1]),
         handover=LeaseHandover(str(raw["i"][0]), int(raw["i"][1]), int(raw["i"][2])),
         load=_decode_loads(raw["l"]),
         totals=_decode_loads(raw["s"]),
@@ -300,7 +300,7 @@
         down=tuple(map(str, raw["d"])),
         occupied=tuple(map(str, raw["u"])),
         moves=tuple(
-            HeldMove(int(row[0]), str(row[1]), str(row[2]), str(row[3]), bool(row[4]))
+            ResidencyChange(int(row[0]), str(row[1]), str(row[2]), str(row[3]), bool(row[4]))
             for row in raw["m"]
         ),
         crashes=tuple(
--- a/src/rosepath/placement_coordinator.py
+++ b/src/rosepath/placement_coordinator.py
@@ -11,7 +11,7 @@
 from rosepath.engine_orders import EnginePort
 from rosepath.entry_settings import EntrySettings
 from rosepath.fleet import BackendServer, Fleet
-from rosepath.held_moves import HeldMoves
+from rosepath.held_moves import ResidencyChanges
 from rosepath.lease_backing import LeaseExtension
 from rosepath.lease_keeper import LeaseKeeper
 from rosepath.leases import LeasePolicy
@@ -92,7 +92,7 @@
         self.resigned_version = 0
         self.handover = LeaseHandover()
         self._handover_accepted_s = -1e9
-        self.moves = HeldMoves(
+        self.moves = ResidencyChanges(
             clock=clock,
             fleet=fleet,
             caches=caches,
@@ -136,8 +136,8 @@
                 may_order=lambda: self.holds_lease,
                 fence=lambda: self.leases.fence(LEASE_NAME),
                 demand=self.all_demand,
-                told_every_s=lambda: peers.interval_s,
-                on_held=self.moves.note,
+                peer_update_interval_s=lambda: peers.interval_s,
+                on_residency_change=self.moves.note,
             )
         )
 
@@ -174,9 +174,9 @@
         return mine and accepted_ago_s < HANDOVER_CLAIM_S and not self._stopping()
 
     @property
-    def acted_ago_s(self) -> float:
+    def last_action_age_s(self) -> float:
         """Return how long ago the last order of this VM ended."""
-        return self.orders.sender.acted_ago_s
+        return self.orders.sender.last_action_age_s
 
     @property
     def holder_ack(self) -> tuple[str, int]:
@@ -208,7 +208,7 @@
             self.leases.note_resignation(
                 LEASE_NAME,
                 version=state.resigned_version,
-                acted_ago_s=state.acted_ago_s,
+                last_action_age_s=state.last_action_age_s,
             )
 
     # Demand
@@ -297,7 +297,7 @@
             LEASE_NAME,
             version=state.handover.version,
             fence=state.handover.fence,
-            acted_ago_s=state.acted_ago_s,
+            last_action_age_s=state.last_action_age_s,
         ):
             self._handover_accepted_s = self._boot_clock.monotonic_s()
             _log.info("lease_inherited", step="lease", by=state.entry_vm)
--- a/src/rosepath/swap_executor.py
+++ b/src/rosepath/swap_executor.py
@@ -41,14 +41,14 @@
         sender: OrderSender,
         read_report: Callable[[BackendServer, EngineRecord], Awaitable[bool]],
         lock: Callable[[str], asyncio.Lock],
-        on_held: Callable[[str, str, str, bool], None],
+        on_residency_change: Callable[[str, str, str, bool], None],
     ) -> None:
         self._clock = clock
         self._engines = engines
         self._sender = sender
         self._read_report = read_report
         self._lock = lock
-        self._on_held = on_held
+        self._on_held = on_residency_change
         self.closing = False
         # Engines on which an unload was started and the load is not answered
         # yet.
@@ -107,7 +107,7 @@
             self._half_finished.discard(server.name)
             record.loading = ""
             record.swap_in_progress = False
-            record.known = False
+            record.is_current = False
 
     async def _unload(
         self, server: BackendServer, record: EngineRecord, victim: str
--- a/tests/test_lease_backing.py
+++ b/tests/test_lease_backing.py
@@ -116,7 +116,7 @@
         stopping=node.stopping,
         resigned_version=node.coordinator.resigned_version,
         handover=node.coordinator.handover,
-        acted_ago_s=node.coordinator.acted_ago_s,
+        last_action_age_s=node.coordinator.last_action_age_s,
     )
     for other in others:
         other.receive(state)
--- a/tests/test_lease_handover.py
+++ b/tests/test_lease_handover.py
@@ -55,7 +55,7 @@
                 )
                 ago_s = clock.monotonic_s() - acted.get(name, -1e9)
                 for other in keepers.values():
-                    other.note_resignation("l", version=version, acted_ago_s=ago_s)
+                    other.note_resignation("l", version=version, last_action_age_s=ago_s)
             else:
                 await keeper.step("l", wanted=True)
             for other in keepers.values():
@@ -87,7 +87,7 @@
         assert first.valid("l") and not second.valid("l")
         clock.advance(1.5)
         version = first.resign("l")
-        second.note_resignation("l", version=version, acted_ago_s=2.0)
+        second.note_resignation("l", version=version, last_action_age_s=2.0)
         await second.step("l", wanted=True)
         clock.advance(1.01)
         assert second.valid("l") and not first.valid("l")
--- a/tests/test_order_arrival.py
+++ b/tests/test_order_arrival.py
@@ -126,7 +126,7 @@
 
         engine.execute = time_out  # type: ignore[method-assign]
         assert not await dispatcher.ensure_adapter("llm", "e1", "m0", "a1")
-        assert dispatcher.sender.acted_s >= given_up_s[-1]
+        assert dispatcher.sender.last_action_s >= given_up_s[-1]
 
     asyncio.run(run())
 
@@ -143,7 +143,7 @@
 
         def answer_late(_: Order) -> OrderReply:
             clock.advance(0.5)
-            reported_ages_s.append(sender.acted_ago_s)
+            reported_ages_s.append(sender.last_action_age_s)
             return OrderReply.ACCEPTED
 
         engine.execute = answer_late  # type: ignore[method-assign]
@@ -152,7 +152,7 @@
         await sender.send(server, record, OrderAction.LOAD, "m1")
         clock.advance(0.25)
         assert reported_ages_s == [0.0]
-        assert sender.acted_ago_s == 0.25
+        assert sender.last_action_age_s == 0.25
 
     asyncio.run(run())
 
@@ -199,15 +199,15 @@
         clock.advance(TICK_S)
     await second.step("l", wanted=True)
     clock.advance(1.0)
-    acted_s = clock.monotonic_s()
+    last_action_s = clock.monotonic_s()
     version = first.resign("l")
-    second.note_resignation("l", version=version, acted_ago_s=0.0)
+    second.note_resignation("l", version=version, last_action_age_s=0.0)
     platform.lose_both = True
     while not second.valid("l"):
         await second.step("l", wanted=True)
         if not second.valid("l"):
             clock.advance(TICK_S)
-    return clock.monotonic_s() - acted_s
+    return clock.monotonic_s() - last_action_s
 
 
 def test_own_unanswered_write_does_not_skip_wait_for_previous_holder() -> None:
@@ -242,7 +242,7 @@
         store.unreachable_from = set(NAMES)
         await run_nodes(nodes, clock, 4.0)
         assert holder.coordinator.holds_lease
-        acted_s = clock.monotonic_s()
+        last_action_s = clock.monotonic_s()
         store.unreachable_from = {holder.name}
 
         def no_node(_: Node) -> bool:
@@ -250,8 +250,8 @@
 
         while not any(node.coordinator.holds_lease for node in others):
             if holder.coordinator.holds_lease:
-                acted_s = clock.monotonic_s()
+                last_action_s = clock.monotonic_s()
             await run_nodes(nodes, clock, TICK_S, sends_state=no_node)
-        assert clock.monotonic_s() - acted_s >= LEASE.handover_s - 1e-6
+        assert clock.monotonic_s() - last_action_s >= LEASE.handover_s - 1e-6
 
     asyncio.run(run())
--- a/tests/test_order_dispatcher.py
+++ b/tests/test_order_dispatcher.py
@@ -104,7 +104,7 @@
     may_order: Callable[[], bool] = lambda: True,
     fleet: Fleet | None = None,
     spec: EngineSpec | None = None,
-    on_held: Callable[[str, str, str, bool], None] = lambda *_: None,
+    on_residency_change: Callable[[str, str, str, bool], None] = lambda *_: None,
 ) -> OrderDispatcher:
     fleet = fleet or Fleet()
     fleet.put(an_entry("e1", models=dict.fromkeys(engine.models, frozenset())))
@@ -120,8 +120,8 @@
             may_order=may_order,
             fence=lambda: 7,
             demand=lambda _: {} if demand is None else demand,
-            told_every_s=lambda: 0.15,
-            on_held=on_held,
+            peer_update_interval_s=lambda: 0.15,
+            on_residency_change=on_residency_change,
         )
     )
 
@@ -259,7 +259,7 @@
 
         engine.on_connect = connect
         assert await dispatcher.ensure_adapter("llm", "e1", "m0", "a1")
-        assert dispatcher.sender.acted_s == connected_at_s[0]
+        assert dispatcher.sender.last_action_s == connected_at_s[0]
 
     asyncio.run(run())
 
--- a/tests/test_order_swaps.py
+++ b/tests/test_order_swaps.py
@@ -28,7 +28,7 @@
         ManualClock(),
         demand={"m1": ModelDemand(0.0, 9)},
         may_order=may_order,
-        on_held=lambda *change: changes.append(change),
+        on_residency_change=lambda *change: changes.append(change),
     )
 
 
--- a/tests/test_peer_messages.py
+++ b/tests/test_peer_messages.py
@@ -13,7 +13,7 @@
     AdapterAsk,
     AdapterReply,
     LeaseHandover,
-    HeldMove,
+    ResidencyChange,
     PeerState,
     decode,
     encode,
@@ -33,7 +33,7 @@
         holder_ack=("y", 4),
         store_ago_s=0.25,
         resigned_version=8,
-        acted_ago_s=1.5,
+        last_action_age_s=1.5,
         handover=LeaseHandover("vm-2", 9, 2),
         load={"e1": PeerLoad(requests=2, unread_tokens=5, targets={"m/a1": 2})},
         demand={"llm": {"m": ModelDemand(0.5, 1, frozenset(["a1"]), 0.75, 2.5)}},
@@ -43,7 +43,7 @@
         leaving=(LeavingServer("e9", 17), LeavingServer("e8", 0, 41)),
         occupied=("e2",),
         arrivals=(ModelArrival("e3", "m2", 1.25),),
-        moves=(HeldMove(1, "e1", "m", "a1", True),),
+        moves=(ResidencyChange(1, "e1", "m", "a1", True),),
     )
     ask = AdapterAsk(
         ask_id="1", reply_to="h:1", server="e", service="s", model="m", adapter="a"
--- a/tests/test_server_notices.py
+++ b/tests/test_server_notices.py
@@ -329,7 +329,7 @@
 # engine that sheds load.
 def test_an_engine_that_sheds_load_gets_no_orders() -> None:
     server = a_server("e1")
-    record = EngineRecord(server="e1", known=True)
+    record = EngineRecord(server="e1", is_current=True)
     spec = an_engine_spec("m0")
     assert engine_view(server, record, spec, now_s=1000.0).accepts_orders
     note_backoff(server, retry_after_s=3.0, now_s=1000.0)
