--- a/src/rosepath/configuration_copies.py
+++ b/src/rosepath/configuration_copies.py
@@ -15,7 +15,7 @@
 
 from rosepath.clock import Clock
 from rosepath.errors import ExchangeError, Step
-from rosepath.feed import Feed
+from rosepath.feed import StoreWatcher
 from rosepath.http_client import HttpPool, Request
 from rosepath.logs import get_logger
 from rosepath.object_store import StoredObject
@@ -57,7 +57,7 @@
     def __init__(
         self,
         data_centre: str,
-        feed: Feed,
+        feed: StoreWatcher,
         *,
         clock: Clock,
         peers: PeerTable,
@@ -76,7 +76,7 @@
     async def run(self) -> None:
         """Fetch the configuration whenever a newer revision is known."""
         while True:
-            await self._feed.wanted.wait()
+            await self._feed.behind_event.wait()
             outdated_since_s = self._clock.monotonic_s()
             self._tried_peers.clear()
             await self._pause(FETCH_DELAY_S)
@@ -104,7 +104,7 @@
             why = str(error) or "no complete response in time"
             _log.info("configuration_not_copied", step="peers", by=peer.name, why=why)
             return False
-        if stored is None or not self._feed.take_copy(stored):
+        if stored is None or not self._feed.apply_copy(stored):
             return False
         _log.info(
             "configuration_copied",
--- a/src/rosepath/entry_node.py
+++ b/src/rosepath/entry_node.py
@@ -20,7 +20,7 @@
 from rosepath.crash_watch import CrashWatch, life_of
 from rosepath.entry_metrics import EntryMetrics
 from rosepath.entry_settings import EntrySettings
-from rosepath.feed import Feed, Pace
+from rosepath.feed import StoreWatcher, WatchPolicy
 from rosepath.fleet import BackendServer
 from rosepath.gateway import CallerExchange, Gateway
 from rosepath.http_client import HttpPool
@@ -41,7 +41,7 @@
 from rosepath.server_choice import note_backoff
 from rosepath.server_notice import ServerNotice
 from rosepath.settings import split_address
-from rosepath.store_pace import Following, catalog_pace, servers_pace
+from rosepath.store_pace import WatchConditions, catalog_watch_policy, servers_watch_policy
 from rosepath.store_tables import StoreTables
 from rosepath.supervisor import Supervisor
 
@@ -91,7 +91,7 @@
         self.clock = SystemClock()
         self.stopping = False
         self.wait_limit_s = math.inf
-        self._pace: Pace | None = None
+        self._pace: WatchPolicy | None = None
         self.loops = Supervisor()
         self.metrics = EntryMetrics()
         self.budgets: dict[str, RetryWindow] = {}
@@ -112,13 +112,13 @@
         self.tables = StoreTables(
             self.store,
             clock=self.clock,
-            servers_pace=self._servers_pace,
-            catalog_pace=lambda: catalog_pace(
-                self._following(self.tables.catalog_feed, self.settings.apply_s)
+            servers_watch_policy=self._servers_pace,
+            catalog_watch_policy=lambda: catalog_watch_policy(
+                self._following(self.tables.catalog_watcher, self.settings.apply_s)
             ),
             on_catalog=self._catalog_taken,
-            on_reborn=self.caches.forget,
-            on_gone=lambda server: self.crashes.note_crashed(life_of(server)),
+            on_restarted=self.caches.forget,
+            on_removed=lambda server: self.crashes.note_crashed(life_of(server)),
             drain_s=settings.drain_s,
             settle_s=settings.settle_s,
             boot_clock=BootClock(),
@@ -135,7 +135,7 @@
             peers=self.peers,
             stopping=lambda: self.stopping,
             cut_off=lambda: self.isolation.cut_off,
-            changed=self.tables.announce,
+            changed=self.tables.notify_waiters,
         )
         self.coordinator.leases.quarantined = lambda: self.crashes.records.quarantined
         self.coordinator.leases.on_quarantined = self._quarantine
@@ -154,7 +154,7 @@
         )
         self.copies = ConfigurationCopies(
             settings.data_centre,
-            self.tables.catalog_feed,
+            self.tables.catalog_watcher,
             clock=self.clock,
             peers=self.peers,
             fetch=fetch_over(HttpPool(clock=self.clock)),
@@ -186,8 +186,8 @@
                 on_outcome=self.records.note,
                 crashes=self.crashes,
                 on_leaving=self._heed_leaving,
-                fleet_fresh_enough=lambda: self.tables.sound,
-                make_sure=self.tables.make_sure,
+                fleet_fresh_enough=lambda: self.tables.fresh_enough,
+                ensure_fresh=self.tables.ensure_fresh,
                 configuration=self._configuration_view,
             )
         )
@@ -222,8 +222,8 @@
         await self.exchange.link.listen()
         host, port = split_address(self.settings.peers.listen)
         self.copies_server.listen(port, address=host)
-        self.loops.forever(self.tables.catalog_feed.run)
-        self.loops.forever(self.tables.servers_feed.run)
+        self.loops.forever(self.tables.catalog_watcher.run)
+        self.loops.forever(self.tables.servers_watcher.run)
         self.loops.forever(self.copies.run)
         self.loops.forever(self.exchange.join)
         self.loops.forever(self.exchange.link.run)
@@ -303,9 +303,9 @@
             "configuration_version": self.tables.catalog.version
             if self.tables.catalog
             else 0,
-            "configuration_age_s": now_s - self.tables.catalog_feed.in_touch_s,
+            "configuration_age_s": now_s - self.tables.catalog_watcher.last_contact_s,
             "configuration_behind": self._configuration_view().behind,
-            "servers_age_s": now_s - self.tables.servers_feed.in_touch_s,
+            "servers_age_s": now_s - self.tables.servers_watcher.last_contact_s,
             "servers_looked_ago_s": self.tables.looked_ago_s,
             "store_age_s": now_s - self.store.last_success_s,
             "servers": len(self.tables.fleet.servers),
@@ -319,7 +319,7 @@
 
     def _configuration_view(self) -> ConfigurationView:
         """Return the version in force, and how current it is known to be."""
-        catalog, feed = self.tables.catalog, self.tables.catalog_feed
+        catalog, feed = self.tables.catalog, self.tables.catalog_watcher
         return ConfigurationView(
             version=catalog.version if catalog else 0,
             age_s=feed.age.age_s,
@@ -344,10 +344,10 @@
         """Tell whether this VM is one of a crowd, and not the one they look to."""
         return self.peers.crowded and not self.coordinator.term
 
-    def _servers_pace(self) -> Pace:
-        feed = self.tables.servers_feed
+    def _servers_pace(self) -> WatchPolicy:
+        feed = self.tables.servers_watcher
         following = self._following(feed, self.settings.drain_s)
-        pace = servers_pace(following)
+        pace = servers_watch_policy(following)
         if pace != self._pace:
             self._pace = pace
             _log.info(
@@ -359,18 +359,18 @@
             )
         return pace
 
-    def _following(self, feed: Feed, bound_s: float) -> Following:
+    def _following(self, feed: StoreWatcher, staleness_limit_s: float) -> WatchConditions:
         """Return on what grounds this VM follows a kind of objects.
 
         The holder goes by its own looks only, as all others go by its word.
         """
         told_age_s = math.inf if self.coordinator.term else feed.age.told_age_s
-        return Following(
-            bound_s=bound_s,
+        return WatchConditions(
+            staleness_limit_s=staleness_limit_s,
             crowded=self._one_of_many,
             told_age_s=told_age_s,
             # Only the holder's watches stand for those of others.
-            words_every_s=self.peers.interval_s if self.coordinator.term else 0.0,
+            message_interval_s=self.peers.interval_s if self.coordinator.term else 0.0,
         )
 
     def _catalog_taken(self, catalog: Catalog) -> None:
@@ -398,7 +398,7 @@
             self._heed_leaving(server)
 
     def _heed_leaving(self, server: BackendServer) -> None:
-        if self.tables.heed_leaving(server):
+        if self.tables.apply_announced_departure(server):
             self.exchange.tell_soon()
 
     def _quarantine(self, content_keys: tuple[str, ...]) -> None:
--- a/src/rosepath/feed.py
+++ b/src/rosepath/feed.py
@@ -10,7 +10,7 @@
 
 from rosepath.clock import Clock
 from rosepath.errors import Step
-from rosepath.late_calls import OnBegun, first_response
+from rosepath.late_calls import OnResponseStart, first_response
 from rosepath.logs import get_logger
 from rosepath.object_store import (
     Change,
@@ -55,7 +55,7 @@
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
-class Pace:
+class WatchPolicy:
     """Hold the timing of watches.
 
     A watch waits up to `wait_s`; changes are batched for `gather_s`.
@@ -115,7 +115,7 @@
         return not call.done() or call.cancelled() or call.exception() is not None
 
 
-class Feed:
+class StoreWatcher:
     """Keep a table in sync with one kind of objects in the store.
 
     Lists the objects once, then watches for changes, and lists them again
@@ -131,7 +131,7 @@
         clock: Clock,
         on_listing: Callable[[Listing], None],
         on_change: Callable[[Change], None],
-        pace: Callable[[], Pace] = Pace,
+        pace: Callable[[], WatchPolicy] = WatchPolicy,
         urgent: bool = False,
         boot_clock: Clock | None = None,
     ) -> None:
@@ -154,7 +154,7 @@
         # also grows with changes of other kinds.
         self.changed_revision = 0
         self.recovered_s = -1e9
-        self.in_touch_s = -1e9
+        self.last_contact_s = -1e9
         # Set to read the store at once. The futures below are resolved when
         # that read succeeds or fails.
         self._refresh_requested = asyncio.Event()
@@ -166,7 +166,7 @@
         self._response_was_slow = False
         self._last_logged_s = -1e9
         # Set while another VM is known to have a newer revision.
-        self.wanted = asyncio.Event()
+        self.behind_event = asyncio.Event()
         # The latest time at which the store or the network to it is known to
         # have failed.
         self._last_failure_s = -1e9
@@ -238,10 +238,10 @@
         self._apply_listing(read.listing)
         self._note_read(read.requested_s)
 
-    def _reads(self, *, fresh: bool) -> Callable[[OnBegun], Awaitable[_Read]]:
+    def _reads(self, *, fresh: bool) -> Callable[[OnResponseStart], Awaitable[_Read]]:
         """Return a function that makes one read of all objects."""
 
-        async def read(on_begun: OnBegun) -> _Read:
+        async def read(on_response_start: OnResponseStart) -> _Read:
             nonlocal fresh
             # Only the first read may use a pooled connection, which may be
             # dead.
@@ -252,10 +252,10 @@
             def note_begun() -> None:
                 nonlocal response_start_s
                 response_start_s = min(response_start_s, self.age.now_s())
-                on_begun()
+                on_response_start()
 
             listing = await self._store.list(
-                self._kind, fresh=this_fresh, on_begun=note_begun
+                self._kind, fresh=this_fresh, on_response_start=note_begun
             )
             return _Read(requested_s, response_start_s, listing)
 
@@ -318,7 +318,7 @@
                 after=self.revision,
                 wait_s=wait_s,
                 relaxed=relaxed,
-                on_begun=note_arriving,
+                on_response_start=note_arriving,
             )
         )
         watch = _Watch(
@@ -388,7 +388,7 @@
                 async with asyncio.timeout(min(left_s, POLICY_CHECK_S)):
                     await self._refresh_requested.wait()
 
-    async def make_sure(self, *, limit_s: float) -> None:
+    async def ensure_fresh(self, *, limit_s: float) -> None:
         """Read the store at once; return when that read succeeds or fails.
 
         Return after `limit_s` at the latest.
@@ -402,7 +402,7 @@
             self._refresh_waiters.discard(waiting)
 
     def _note_read(self, known_s: float) -> None:
-        self.age.note_look(known_s)
+        self.age.note_store_read(known_s)
         self._resolve()
 
     def _resolve(self) -> None:
@@ -415,7 +415,7 @@
         if revision <= max(self.changed_revision, self._peer_revision):
             return
         self._peer_revision = revision
-        self.wanted.set()
+        self.behind_event.set()
         if self._urgent:
             self._newer_revision_known.set()
         watch = self._watch
@@ -434,7 +434,7 @@
         """Return whether another VM is known to have a newer revision."""
         return self._peer_revision > self.changed_revision
 
-    def take_copy(self, stored: StoredObject) -> bool:
+    def apply_copy(self, stored: StoredObject) -> bool:
         """Apply an object that another VM read; return whether it is newer."""
         if stored.version <= self.changed_revision:
             return False
@@ -484,18 +484,18 @@
         newest = max((stored.version for stored in objects.values()), default=0)
         self.changed_revision = max(self.changed_revision, newest)
         if not self.behind:
-            self.wanted.clear()
+            self.behind_event.clear()
 
     def _note_contact(self, revision: int) -> None:
         self.revision = revision
-        self.in_touch_s = self._clock.monotonic_s()
+        self.last_contact_s = self._clock.monotonic_s()
         if self._response_was_slow:
             # The next response may come after the table is too old to act on.
             if not self.store_unavailable:
                 self._note_failure(self._slow_response_error("call"))
         elif self.store_unavailable:
             self.store_unavailable = False
-            self.recovered_s = self.in_touch_s
+            self.recovered_s = self.last_contact_s
             _log.info("store_regained", kind=self._kind, revision=revision)
 
     def _note_failure(self, error: StoreError) -> None:
--- a/src/rosepath/http_exchange.py
+++ b/src/rosepath/http_exchange.py
@@ -117,7 +117,7 @@
         self.failure: BaseException | None = None
         self.progress = 0
         self.consumer_busy = False
-        self.on_begun: Callable[[], None] | None = None
+        self.on_response_start: Callable[[], None] | None = None
         self._keep_alive = False
         self._surplus = False
         self._stray = False
@@ -164,8 +164,8 @@
             self._stray = True
             return
         self.head = head
-        if self.on_begun is not None:
-            self.on_begun()
+        if self.on_response_start is not None:
+            self.on_response_start()
         self._connection.stated_idle_s = _stated_idle_s(self._headers)
         self._on_head(self.head)
         if self._bodiless:
@@ -306,7 +306,7 @@
         self._seen = 0
         self._loop = asyncio.get_running_loop()
         self._timer = self._loop.call_later(silence_s, self._check)
-        exchange.on_begun = self._answer_began
+        exchange.on_response_start = self._answer_began
 
     def _answer_began(self) -> None:
         """Watch at the pace of pauses from the first byte on."""
--- a/src/rosepath/late_calls.py
+++ b/src/rosepath/late_calls.py
@@ -11,11 +11,11 @@
 
 T = TypeVar("T")
 # Called when the first byte of a response arrives.
-OnBegun = Callable[[], None]
+OnResponseStart = Callable[[], None]
 
 
 async def first_response(
-    call: Callable[[OnBegun], Awaitable[T]],
+    call: Callable[[OnResponseStart], Awaitable[T]],
     *,
     slow_after_s: float,
     hedge_interval_s: float,
@@ -39,8 +39,8 @@
             if not arriving and len(running) < max_concurrent and loop.time() >= next_s:
                 next_s = loop.time() + (hedge_interval_s if made else slow_after_s)
                 made += 1
-                on_begun = partial(arriving.add, made)
-                running[asyncio.ensure_future(call(on_begun))] = made
+                on_response_start = partial(arriving.add, made)
+                running[asyncio.ensure_future(call(on_response_start))] = made
             full = bool(arriving) or len(running) >= max_concurrent
             done, _ = await asyncio.wait(
                 running,
--- a/src/rosepath/object_store.py
+++ b/src/rosepath/object_store.py
@@ -6,7 +6,7 @@
 from typing import NamedTuple, Protocol
 
 from rosepath.errors import RosepathError
-from rosepath.late_calls import OnBegun
+from rosepath.late_calls import OnResponseStart
 
 
 class StoredObject(NamedTuple):
@@ -62,7 +62,7 @@
     unknown = False
 
 
-def tell_nobody() -> None:
+def ignore_response_start() -> None:
     """Ignore the first byte of a response."""
 
 
@@ -78,7 +78,7 @@
         kind: str,
         *,
         fresh: bool = False,
-        on_begun: OnBegun = tell_nobody,
+        on_response_start: OnResponseStart = ignore_response_start,
     ) -> Listing: ...
 
     async def changes(
@@ -88,7 +88,7 @@
         after: int,
         wait_s: float,
         relaxed: bool = False,
-        on_begun: OnBegun = tell_nobody,
+        on_response_start: OnResponseStart = ignore_response_start,
     ) -> Change: ...
 
 
--- a/src/rosepath/paced_call.py
+++ b/src/rosepath/paced_call.py
@@ -4,7 +4,7 @@
 from collections.abc import Callable
 
 
-class PacedCall:
+class ThrottledCall:
     """Make a call on request, at most once per interval.
 
     A request outside an interval is served at once. All requests within the
--- a/src/rosepath/peer_exchange.py
+++ b/src/rosepath/peer_exchange.py
@@ -131,7 +131,7 @@
         ]
         holding = self._coordinator.term > 0
         sends_totals = holding and self.peers.large_fleet
-        leaving, complete_ago_s = self._tables.leaves.told()
+        leaving, complete_ago_s = self._tables.departures.told()
         if not holding:
             # Only the holder, which watches the store continuously, decides
             # whether an entry was removed or has only expired.
@@ -144,7 +144,7 @@
             start=start,
             number=number,
             stopping=self._stopping(),
-            servers_revision=self._tables.servers_feed.changed_revision,
+            servers_revision=self._tables.servers_watcher.changed_revision,
             configuration_revision=self._tables.configuration_revision,
             term=self._coordinator.term,
             lease_version=self._coordinator.lease_version,
@@ -162,9 +162,9 @@
             if self._coordinator.term
             else (),
             moves=tuple(self._coordinator.moves.recent()),
-            known_ago_s=self._tables.vouched_age_s if holding else NEVER_S,
+            known_ago_s=self._tables.reported_age_s if holding else NEVER_S,
             complete_ago_s=complete_ago_s,
-            configuration_known_ago_s=self._tables.catalog_feed.age.age_s
+            configuration_known_ago_s=self._tables.catalog_watcher.age.age_s
             if holding
             else NEVER_S,
             leaving=leaving,
@@ -193,11 +193,11 @@
             self._apply_totals(state)
         elif not self.peers.large_fleet or self._coordinator.term:
             self._apply_load(state)
-        self._tables.servers_feed.hear(state.servers_revision)
-        self._tables.catalog_feed.hear(state.configuration_revision)
+        self._tables.servers_watcher.hear(state.servers_revision)
+        self._tables.catalog_watcher.hear(state.configuration_revision)
         for server in state.leaving:
             known = self._tables.fleet.servers.get(server.name)
-            if self._tables.hear_leaving(server) and known is not None:
+            if self._tables.apply_peer_departure(server) and known is not None:
                 event = "server_gone" if server.gone_at else "server_leaving"
                 self._log_departure(event, known, state)
         if state.term:
@@ -205,17 +205,17 @@
         self._apply_crash_records(state)
         self._apply_unreachable(state)
         if state.term and state.store_ago_s > STORE_FAILURE_S:
-            self._tables.note_trouble()
+            self._tables.note_store_failure()
         self._coordinator.handle_peer_state(state)
 
     def _apply_ages(self, state: PeerState) -> None:
         """Apply the holder's reported ages in place of reads of the store."""
         tables = self._tables
-        tables.servers_feed.age.hear(
+        tables.servers_watcher.age.hear(
             known_ago_s=state.known_ago_s, complete_ago_s=state.complete_ago_s
         )
-        if state.configuration_revision <= tables.catalog_feed.changed_revision:
-            tables.catalog_feed.age.hear(
+        if state.configuration_revision <= tables.catalog_watcher.changed_revision:
+            tables.catalog_watcher.age.hear(
                 known_ago_s=state.configuration_known_ago_s, complete_ago_s=math.inf
             )
 
@@ -263,7 +263,7 @@
             self._crashes.isolated.hear(state.entry_vm, state.isolated, now_s=now_s)
         )
         if any(changes):
-            self._tables.announce()
+            self._tables.notify_waiters()
             if self._coordinator.term and self.peers.large_fleet:
                 self.tell_soon()
 
--- a/src/rosepath/placement_coordinator.py
+++ b/src/rosepath/placement_coordinator.py
@@ -19,7 +19,7 @@
 from rosepath.model_arrivals import ModelArrivals
 from rosepath.object_store import ObjectsPort
 from rosepath.order_dispatcher import DispatcherPorts, OrderDispatcher
-from rosepath.paced_call import PacedCall
+from rosepath.paced_call import ThrottledCall
 from rosepath.peer_link import PeerLink
 from rosepath.peer_messages import AdapterAsk, LeaseHandover, PeerState
 from rosepath.peer_table import PeerTable
@@ -97,7 +97,7 @@
             fleet=fleet,
             caches=caches,
             changed=changed,
-            tell=PacedCall(self._send_state, interval_s=self._move_interval_s).ask,
+            tell=ThrottledCall(self._send_state, interval_s=self._move_interval_s).ask,
         )
         self._arrivals = ModelArrivals()
         self._was_holder = False
--- a/src/rosepath/platform/store.py
+++ b/src/rosepath/platform/store.py
@@ -12,7 +12,7 @@
 from rosepath.clock import Clock
 from rosepath.errors import ExchangeError, Step
 from rosepath.http_client import HttpPool, Request, ResponseHead
-from rosepath.late_calls import OnBegun
+from rosepath.late_calls import OnResponseStart
 from rosepath.object_store import (
     Change,
     ConflictError,
@@ -20,7 +20,7 @@
     Listing,
     StoredObject,
     StoreError,
-    tell_nobody,
+    ignore_response_start,
 )
 
 _PATH = "/v1/objects/"
@@ -82,7 +82,7 @@
         kind: str,
         *,
         fresh: bool = False,
-        on_begun: OnBegun = tell_nobody,
+        on_response_start: OnResponseStart = ignore_response_start,
     ) -> Listing:
         """Read every object of a kind, page by page."""
         objects: dict[str, StoredObject] = {}
@@ -91,7 +91,7 @@
         while True:
             query = f"?{urlencode({'after': after})}" if after else ""
             path = f"{_PATH}{kind}{query}"
-            _, raw = await self._read("list", path, fresh=fresh, on_begun=on_begun)
+            _, raw = await self._read("list", path, fresh=fresh, on_response_start=on_response_start)
             for item in raw["items"]:
                 after = item["metadata"]["name"]
                 name = f"{kind}/{after}"
@@ -109,7 +109,7 @@
         after: int,
         wait_s: float,
         relaxed: bool = False,
-        on_begun: OnBegun = tell_nobody,
+        on_response_start: OnResponseStart = ignore_response_start,
     ) -> Change:
         """Wait for changes of a kind; raises HistoryGoneError or StoreError.
 
@@ -121,7 +121,7 @@
             asked["isStale"] = 1
         path = f"{_PATH}{kind}?{urlencode(asked)}"
         what = "relaxed_watch" if relaxed else "watch"
-        head, raw = await self._read(what, path, wait_s=wait_s, on_begun=on_begun)
+        head, raw = await self._read(what, path, wait_s=wait_s, on_response_start=on_response_start)
         if head.status == 410:
             raise HistoryGoneError(kind, step=Step.STORE, peer=self._access.address)
         written: dict[str, StoredObject] = {}
@@ -162,7 +162,7 @@
         *,
         wait_s: float = 0.0,
         fresh: bool = False,
-        on_begun: OnBegun,
+        on_response_start: OnResponseStart,
     ) -> tuple[ResponseHead, Any]:
         """Read what may be large, for as long as it keeps arriving."""
         patience_s = self._access.read_patience_s
@@ -179,7 +179,7 @@
             request,
             limit_s=patience_s + wait_s,
             pause_s=self._access.call_timeout_s,
-            on_begun=on_begun,
+            on_response_start=on_response_start,
         )
 
     async def _fetch(
@@ -189,14 +189,14 @@
         *,
         limit_s: float,
         pause_s: float | None = None,
-        on_begun: OnBegun = tell_nobody,
+        on_response_start: OnResponseStart = ignore_response_start,
     ) -> tuple[ResponseHead, Any]:
         """Make a call and read its answer; raises StoreError or ConflictError."""
         self.calls[what] += 1
         method, path = request.method, request.path
         try:
             head, answer = await self._exchange(
-                request, limit_s=limit_s, pause_s=pause_s, on_begun=on_begun
+                request, limit_s=limit_s, pause_s=pause_s, on_response_start=on_response_start
             )
             if head.status == 409:
                 raise ConflictError(path, step=Step.STORE, peer=self._access.address)
@@ -220,7 +220,7 @@
         *,
         limit_s: float,
         pause_s: float | None,
-        on_begun: OnBegun,
+        on_response_start: OnResponseStart,
     ) -> tuple[ResponseHead, bytes]:
         """Send a request and return its answer, or raise TimeoutError.
 
@@ -230,7 +230,7 @@
 
         def note_head(_: ResponseHead) -> None:
             note_arrival()
-            on_begun()
+            on_response_start()
 
         def note_part(part: bytes) -> None:
             note_arrival()
--- a/src/rosepath/request_context.py
+++ b/src/rosepath/request_context.py
@@ -73,7 +73,7 @@
     # Whether the known fleet is current enough to route by, and the refresh
     # that makes it current.
     fleet_fresh_enough: Callable[[], bool] = lambda: True
-    make_sure: Callable[[], Awaitable[None]] = _skip_refresh
+    ensure_fresh: Callable[[], Awaitable[None]] = _skip_refresh
     # Version and age of the catalog.
     configuration: Callable[[], ConfigurationView] = lambda: UNKNOWN_CONFIGURATION
     rng: random.Random = field(default_factory=random.Random)
--- a/src/rosepath/server_picker.py
+++ b/src/rosepath/server_picker.py
@@ -101,7 +101,7 @@
     ) -> tuple[BackendServer, InFlightRequest]:
         while True:
             self._refuse_if_quarantined(context)
-            await self._ports.make_sure()
+            await self._ports.ensure_fresh()
             chosen = await self._pick(context)
             now_s = self._now_s()
             if chosen is not None and now_s < context.deadline_s:
--- a/src/rosepath/store_pace.py
+++ b/src/rosepath/store_pace.py
@@ -19,7 +19,7 @@
 import math
 from dataclasses import dataclass
 
-from rosepath.feed import Pace
+from rosepath.feed import WatchPolicy
 
 # A store read takes a few milliseconds, a failed one half a second; that one
 # is due is detected within a quarter of a second.
@@ -52,7 +52,7 @@
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
-class Following:
+class WatchConditions:
     """Hold the conditions from which an entry VM chooses its watch policy.
 
     `told_age_s` is the age of the table that the lease holder's messages
@@ -61,53 +61,53 @@
     `crowded` whether it is one of many VMs that do not hold it.
     """
 
-    bound_s: float
+    staleness_limit_s: float
     crowded: bool = False
     told_age_s: float = math.inf
-    words_every_s: float = 0.0
+    message_interval_s: float = 0.0
 
     @property
     def covered(self) -> bool:
         """Return whether the lease holder's messages replace store reads."""
-        return self.told_age_s < self.bound_s - READ_TIME_S
+        return self.told_age_s < self.staleness_limit_s - READ_TIME_S
 
     @property
     def wait_s(self) -> float:
         """Return how long a watch may wait that no messages replace."""
-        messages_s = MESSAGE_INTERVALS * self.words_every_s
+        messages_s = MESSAGE_INTERVALS * self.message_interval_s
         recent_s = max(
-            self.bound_s * WAIT_MIN_SHARE, self.bound_s - READ_TIME_S - messages_s
+            self.staleness_limit_s * WAIT_MIN_SHARE, self.staleness_limit_s - READ_TIME_S - messages_s
         )
-        return min(WAIT_SHARE * self.bound_s, recent_s)
+        return min(WAIT_SHARE * self.staleness_limit_s, recent_s)
 
 
-def servers_pace(following: Following) -> Pace:
+def servers_watch_policy(following: WatchConditions) -> WatchPolicy:
     """Return the policy for watching the servers' entries."""
     if following.covered:
         crowded = following.crowded
-        return Pace(
+        return WatchPolicy(
             wait_s=COVERED_WAIT_S,
             gather_s=GATHER_COVERED_CROWDED_S if crowded else GATHER_COVERED_S,
             backoff_max_s=BACKOFF_COVERED_S,
             relaxed=True,
         )
     if following.crowded:
-        return Pace(
+        return WatchPolicy(
             wait_s=following.wait_s,
-            gather_s=GATHER_CROWDED_SHARE * following.bound_s,
+            gather_s=GATHER_CROWDED_SHARE * following.staleness_limit_s,
             backoff_max_s=BACKOFF_COVERED_S,
         )
-    return Pace(
+    return WatchPolicy(
         wait_s=following.wait_s,
         gather_s=GATHER_S,
         backoff_max_s=BACKOFF_UNCOVERED_S,
     )
 
 
-def catalog_pace(following: Following) -> Pace:
+def catalog_watch_policy(following: WatchConditions) -> WatchPolicy:
     """Return the policy for watching the rarely changed configuration."""
     covered, crowded = following.covered, following.crowded
-    return Pace(
+    return WatchPolicy(
         wait_s=COVERED_WAIT_S if covered else following.wait_s,
         gather_s=GATHER_S,
         backoff_max_s=BACKOFF_COVERED_S if covered or crowded else BACKOFF_UNCOVERED_S,
--- a/src/rosepath/store_tables.py
+++ b/src/rosepath/store_tables.py
@@ -8,7 +8,7 @@
 from rosepath.catalog import Catalog
 from rosepath.clock import Clock
 from rosepath.departure_log import DepartureLog
-from rosepath.feed import Feed, Pace
+from rosepath.feed import StoreWatcher, WatchPolicy
 from rosepath.fleet import BackendServer, Fleet, LeavingServer
 from rosepath.logs import get_logger
 from rosepath.object_store import Change, Listing, ListWatchPort, StoredObject
@@ -50,44 +50,44 @@
         store: ListWatchPort,
         *,
         clock: Clock,
-        servers_pace: Callable[[], Pace],
-        catalog_pace: Callable[[], Pace],
+        servers_watch_policy: Callable[[], WatchPolicy],
+        catalog_watch_policy: Callable[[], WatchPolicy],
         on_catalog: Callable[[Catalog], None],
-        on_reborn: Callable[[str], None] = lambda _: None,
-        on_gone: Callable[[BackendServer], None] = lambda _: None,
+        on_restarted: Callable[[str], None] = lambda _: None,
+        on_removed: Callable[[BackendServer], None] = lambda _: None,
         drain_s: float = math.inf,
         settle_s: float = 0.0,
         boot_clock: Clock | None = None,
     ) -> None:
         self._drain_s = drain_s
         self._settle_s = settle_s
-        self._on_reborn = on_reborn
-        self._on_gone = on_gone
+        self._on_reborn = on_restarted
+        self._on_gone = on_removed
         self._clock = clock
         self._on_catalog = on_catalog
         # Entries that are missing but may only have expired.
         self._absent: dict[str, _Absence] = {}
         self._store_failure_s = -1e9
-        self.leaves = DepartureLog(clock=boot_clock or clock)
+        self.departures = DepartureLog(clock=boot_clock or clock)
         self.catalog: Catalog | None = None
         # The object from which the catalog was decoded.
         self.configuration: StoredObject | None = None
         self.fleet = Fleet()
         self.changed = asyncio.Condition()
-        self.servers_feed = Feed(
+        self.servers_watcher = StoreWatcher(
             store,
             SERVER_KIND,
             clock=clock,
-            pace=servers_pace,
+            pace=servers_watch_policy,
             on_listing=self._servers_listed,
             on_change=self._servers_changed,
             boot_clock=boot_clock,
         )
-        self.catalog_feed = Feed(
+        self.catalog_watcher = StoreWatcher(
             store,
             CONFIGURATION_KIND,
             clock=clock,
-            pace=catalog_pace,
+            pace=catalog_watch_policy,
             urgent=True,
             on_listing=lambda listing: self._apply_catalog(listing.objects),
             on_change=lambda change: self._apply_catalog(change.written),
@@ -110,7 +110,7 @@
         _log.info(
             "configuration_in_force", version=catalog.version, revision=stored.version
         )
-        self.announce()
+        self.notify_waiters()
 
     @property
     def configuration_revision(self) -> int:
@@ -124,7 +124,7 @@
             gone_at=listing.revision,
         )
         self._apply_entries(listing.objects)
-        self.leaves.begin()
+        self.departures.begin()
         _log.info("servers_listed", revision=listing.revision, count=len(listed))
 
     def _servers_changed(self, change: Change) -> None:
@@ -151,8 +151,8 @@
             taken = self.fleet.servers.get(entry.name)
             if entry.draining and taken and taken.entry is entry and not left:
                 self._log_server("server_leaving", entry.name)
-                self.leaves.note(LeavingServer(entry.name, entry.born_ms))
-        self.announce()
+                self.departures.note(LeavingServer(entry.name, entry.born_ms))
+        self.notify_waiters()
 
     def _remove_unreadable(self, stored: StoredObject) -> None:
         """Remove a server whose entry was overwritten by another writer.
@@ -177,7 +177,7 @@
             if not wait_s:
                 self._remove(name, gone_at=gone_at)
             elif name not in self._absent:
-                last_present_s = self.servers_feed.age.known_s
+                last_present_s = self.servers_watcher.age.known_s
                 self._absent[name] = _Absence(last_present_s, gone_at)
                 self._log_server("server_missing", name, wait_s=wait_s)
                 loop = asyncio.get_running_loop()
@@ -192,7 +192,7 @@
         be used for. After an outage of its own, a VM is bound by that only
         once it has settled.
         """
-        now_s, feed = self._clock.monotonic_s(), self.servers_feed
+        now_s, feed = self._clock.monotonic_s(), self.servers_watcher
         if feed.store_unavailable:
             grace_s = ENTRY_RETURN_S
         else:
@@ -213,24 +213,24 @@
         self.fleet.remove(name, gone_at=gone_at)
         if server is not None:
             self._on_gone(server)
-        self.leaves.note(LeavingServer(name, gone_at=gone_at))
+        self.departures.note(LeavingServer(name, gone_at=gone_at))
 
-    def hear_leaving(self, leaving: LeavingServer) -> bool:
+    def apply_peer_departure(self, leaving: LeavingServer) -> bool:
         """Apply a departure reported by a peer; return whether it is new."""
         if not self.fleet.note_leaving(leaving):
             return False
         if leaving.gone_at:
             self._absent.pop(leaving.name, None)
-        self.leaves.note(leaving)
+        self.departures.note(leaving)
         return True
 
-    def heed_leaving(self, server: BackendServer) -> bool:
+    def apply_announced_departure(self, server: BackendServer) -> bool:
         """Apply a departure a server announces; return whether it is new."""
         leaving = LeavingServer(server.name, server.entry.born_ms)
-        is_new = self.hear_leaving(leaving)
+        is_new = self.apply_peer_departure(leaving)
         if is_new:
             self._log_server("server_leaving", server.name, step="answer")
-            self.announce()
+            self.notify_waiters()
         return is_new
 
     def _log_server(
@@ -245,29 +245,29 @@
             in_flight=len(server.in_flight_requests) if server else 0,
             looked_ago_s=self.looked_ago_s,
             trouble_ago_s=round(self._clock.monotonic_s() - self._store_failure_s, 3),
-            revision=self.servers_feed.revision,
+            revision=self.servers_watcher.revision,
             **fields,
         )
 
     @property
     def servers_known(self) -> bool:
         """Return whether the servers have been listed at least once."""
-        return self.servers_feed.revision > 0
+        return self.servers_watcher.revision > 0
 
     @property
     def looked_ago_s(self) -> float:
         """Return the age of the server table, by reads or peers' messages."""
-        return round(self.servers_feed.age.age_s, 3)
+        return round(self.servers_watcher.age.age_s, 3)
 
     @property
-    def vouched_age_s(self) -> float:
+    def reported_age_s(self) -> float:
         """Return the age of the server table that other VMs may rely on.
 
         While missing entries may only have expired, it is not known which
         servers left. VMs that did not receive the departure would go on using
         such a server after this VM stops.
         """
-        age = self.servers_feed.age
+        age = self.servers_watcher.age
         last_present_s = min(
             (absence.last_present_s for absence in self._absent.values()), default=0
         )
@@ -275,24 +275,24 @@
         return max(age.age_s, unconfirmed_s)
 
     @property
-    def sound(self) -> bool:
+    def fresh_enough(self) -> bool:
         """Return whether the server table is recent enough to route by.
 
         It is while no server can have left for longer than a departing server
         may still be used. While the store is unavailable, the table cannot be
         refreshed and stays in use.
         """
-        feed = self.servers_feed
+        feed = self.servers_watcher
         usable_s = max(self._drain_s - REQUEST_TRANSIT_S, self._drain_s / 2)
         return feed.store_unavailable or feed.age.age_s < usable_s
 
-    async def make_sure(self) -> None:
+    async def ensure_fresh(self) -> None:
         """Refresh the server table if it is too old to route by."""
-        if not self.sound:
+        if not self.fresh_enough:
             _log.info("fleet_too_old", step="store", looked_ago_s=self.looked_ago_s)
-            await self.servers_feed.make_sure(limit_s=REFRESH_TIMEOUT_S)
+            await self.servers_watcher.ensure_fresh(limit_s=REFRESH_TIMEOUT_S)
 
-    def note_trouble(self) -> None:
+    def note_store_failure(self) -> None:
         """Note that the store does not respond to the placement lease holder.
 
         The lease holder writes each second and detects an outage that begins
@@ -300,7 +300,7 @@
         """
         self._store_failure_s = self._clock.monotonic_s()
 
-    def announce(self) -> None:
+    def notify_waiters(self) -> None:
         """Wake the requests that wait for a change."""
         asyncio.ensure_future(self._notify())
 
--- a/src/rosepath/table_age.py
+++ b/src/rosepath/table_age.py
@@ -41,7 +41,7 @@
         """Return the age by the lease holder's messages alone."""
         return self.now_s() - self._told_s
 
-    def note_look(self, known_s: float) -> None:
+    def note_store_read(self, known_s: float) -> None:
         """Note a store read that returned every change up to `known_s`."""
         self.last_read_s = max(self.last_read_s, known_s)
 
--- a/tests/fleet_world.py
+++ b/tests/fleet_world.py
@@ -293,8 +293,8 @@
     def _run(self, name: str) -> None:
         node = self.nodes[name]
         for work in (
-            node.tables.servers_feed.run,
-            node.tables.catalog_feed.run,
+            node.tables.servers_watcher.run,
+            node.tables.catalog_watcher.run,
             node.exchange.link.run,
             node.copies.run,
         ):
--- a/tests/store_view.py
+++ b/tests/store_view.py
@@ -16,7 +16,7 @@
     Listing,
     StoredObject,
     StoreError,
-    tell_nobody,
+    ignore_response_start,
 )
 
 if TYPE_CHECKING:
@@ -47,7 +47,7 @@
         kind: str,
         *,
         fresh: bool = False,
-        on_begun: Callable[[], None] = tell_nobody,
+        on_response_start: Callable[[], None] = ignore_response_start,
     ) -> Listing:
         await self._call("list", limit_s=READ_PATIENCE_S)
         objects = {
@@ -56,7 +56,7 @@
             if name.startswith(f"{kind}/")
         }
         listing = Listing(revision=self.world.revision, objects=objects)
-        on_begun()
+        on_response_start()
         await self._receive(objects)
         return self._answered(listing)
 
@@ -67,14 +67,14 @@
         after: int,
         wait_s: float,
         relaxed: bool = False,
-        on_begun: Callable[[], None] = tell_nobody,
+        on_response_start: Callable[[], None] = ignore_response_start,
     ) -> Change:
         """Watch over the connection of the watch before, unless that failed."""
         if self.connected_s < 0:
             self.connected_s = now_s()
         connected_s, self.connected_s = self.connected_s, -1.0
         late_s = RELAXED_LATE_S if relaxed else 0.0
-        change = await self._changes(kind, after, wait_s, connected_s, late_s, on_begun)
+        change = await self._changes(kind, after, wait_s, connected_s, late_s, on_response_start)
         self.connected_s = connected_s
         return change
 
@@ -85,7 +85,7 @@
         wait_s: float,
         connected_s: float,
         late_s: float,
-        on_begun: Callable[[], None],
+        on_response_start: Callable[[], None],
     ) -> Change:
         what = "relaxed_watch" if late_s else "watch"
         await self._call(what, limit_s=wait_s + READ_PATIENCE_S)
@@ -103,7 +103,7 @@
                 if gone:
                     raise HistoryGoneError(kind, step=Step.STORE)
                 await asyncio.sleep(WAY_S)
-                on_begun()
+                on_response_start()
                 await self._receive(change.written)
                 return self._answered(change)
             left_s = until_s - now_s()
--- a/tests/test_configuration_copies.py
+++ b/tests/test_configuration_copies.py
@@ -26,7 +26,7 @@
     fetch_over,
 )
 from rosepath.errors import ExchangeError, Step
-from rosepath.feed import Feed
+from rosepath.feed import StoreWatcher
 from rosepath.http_client import HttpPool
 from rosepath.object_store import Change, Listing, StoredObject, StoreError
 from rosepath.peer_table import SMALL_FLEET_VMS, PeerTable
@@ -52,7 +52,7 @@
         self.peers = PeerTable("me", clock=clock)
         for number in range(peers):
             self.peers.learn(f"other-{number}", f"10.0.0.2:{number + 1}")
-        self.feed = Feed(
+        self.feed = StoreWatcher(
             FailingStore(),
             "config",
             clock=clock,
--- a/tests/test_entry_node.py
+++ b/tests/test_entry_node.py
@@ -7,7 +7,7 @@
 
 from rosepath.entry_node import NO_PLAN_TICK_S, PLAN_TICK_S, EntryNode
 from rosepath.peer_messages import NEVER_S
-from rosepath.store_pace import WAIT_SHARE, catalog_pace
+from rosepath.store_pace import WAIT_SHARE, catalog_watch_policy
 
 
 def plans(*, holds: bool, begins_at_s: float, until_s: float) -> list[float]:
@@ -64,12 +64,12 @@
     node = EntryNode(entry_settings("vm"))
     for number in range(40):
         node.peers.learn(f"vm-{number}", f"10.0.0.1:{number}")
-    feed, bound_s = node.tables.catalog_feed, 3.0
-    other_s = catalog_pace(node._following(feed, bound_s)).wait_s
+    feed, staleness_limit_s = node.tables.catalog_watcher, 3.0
+    other_s = catalog_watch_policy(node._following(feed, staleness_limit_s)).wait_s
     node.coordinator.leases.valid = lambda *_, **__: True  # type: ignore[method-assign]
     node.coordinator.leases.fence = lambda _: 1  # type: ignore[method-assign]
-    holder_s = catalog_pace(node._following(feed, bound_s)).wait_s
-    assert holder_s < other_s == WAIT_SHARE * bound_s
+    holder_s = catalog_watch_policy(node._following(feed, staleness_limit_s)).wait_s
+    assert holder_s < other_s == WAIT_SHARE * staleness_limit_s
 
 
 def test_a_vm_that_heard_of_a_newer_configuration_shows_that_it_is_behind() -> None:
@@ -78,7 +78,7 @@
     async def run() -> None:
         node = EntryNode(entry_settings("vm"))
         assert not node._beliefs()["configuration_behind"]
-        node.tables.catalog_feed.hear(7)
+        node.tables.catalog_watcher.hear(7)
         assert node._beliefs()["configuration_behind"]
         assert node._configuration_view().log_fields["configuration_behind"] is True
 
@@ -91,10 +91,10 @@
     # what the holder has vouched for since, and the reverse.
     async def run() -> None:
         node = EntryNode(entry_settings("vm"))
-        age = node.tables.catalog_feed.age
+        age = node.tables.catalog_watcher.age
         assert node._configuration_view().log_fields["configuration_age_s"] == NEVER_S
         node.tables.catalog = a_catalog(a_route(), version=3)
-        age.note_look(age.now_s())
+        age.note_store_read(age.now_s())
         view = node._configuration_view()
         assert view.version == 3
         assert view.age_s < 1.0
--- a/tests/test_feed.py
+++ b/tests/test_feed.py
@@ -10,7 +10,7 @@
 
 from rosepath.clock import ManualClock
 from rosepath.errors import Step
-from rosepath.feed import PROBE_WAIT_S, Feed, Pace
+from rosepath.feed import PROBE_WAIT_S, StoreWatcher, WatchPolicy
 from rosepath.object_store import (
     Change,
     HistoryGoneError,
@@ -55,8 +55,8 @@
     return Listing(revision=revision, objects=objects)
 
 
-def a_feed(store: ScriptedStore, clock: ManualClock, **options: Any) -> Feed:
-    return Feed(
+def a_feed(store: ScriptedStore, clock: ManualClock, **options: Any) -> StoreWatcher:
+    return StoreWatcher(
         store,
         "servers",
         clock=clock,
@@ -71,7 +71,7 @@
     seen: list[str] = []
 
     async def run() -> None:
-        feed = Feed(
+        feed = StoreWatcher(
             store,
             "servers",
             clock=ManualClock(),
@@ -157,13 +157,13 @@
             return whole
 
         store.list = list_late  # type: ignore[method-assign]
-        feed = Feed(
+        feed = StoreWatcher(
             store,
             "config",
             clock=ManualClock(),
             on_listing=lambda _: None,
             on_change=lambda _: None,
-            pace=lambda: Pace(backoff_max_s=3600.0),
+            pace=lambda: WatchPolicy(backoff_max_s=3600.0),
             urgent=True,
         )
         following = asyncio.ensure_future(feed.run())
@@ -196,14 +196,14 @@
             return Change(revision=5, written={}, removed=frozenset())
 
         store.changes = changes  # type: ignore[method-assign]
-        feed = a_feed(store, clock, pace=lambda: Pace(wait_s=10.0))
+        feed = a_feed(store, clock, pace=lambda: WatchPolicy(wait_s=10.0))
         following = asyncio.ensure_future(feed.run())
         while not waits_s:  # noqa: ASYNC110
             await asyncio.sleep(0)
         clock.advance(20.0)
         assert feed.age.age_s == 20.0
         async with asyncio.timeout(10):
-            await feed.make_sure(limit_s=10.0)
+            await feed.ensure_fresh(limit_s=10.0)
         assert feed.age.age_s < 1.0
         assert waits_s[:2] == [10.0, PROBE_WAIT_S]
         following.cancel()
@@ -229,7 +229,7 @@
             return Change(revision=6, written={}, removed=frozenset())
 
         store.changes = changes  # type: ignore[method-assign]
-        pace = Pace(wait_s=10.0, relaxed=True)
+        pace = WatchPolicy(wait_s=10.0, relaxed=True)
         feed = a_feed(store, clock, pace=lambda: pace, urgent=True)
         following = asyncio.ensure_future(feed.run())
         while not relaxed_watches:  # noqa: ASYNC110
@@ -262,14 +262,14 @@
             return Change(revision=5, written={}, removed=frozenset())
 
         store.changes = changes  # type: ignore[method-assign]
-        pace = Pace(wait_s=10.0, relaxed=True)
+        pace = WatchPolicy(wait_s=10.0, relaxed=True)
         feed = a_feed(store, clock, pace=lambda: pace)
         following = asyncio.ensure_future(feed.run())
         while not relaxed_watches:  # noqa: ASYNC110
             await asyncio.sleep(0)
         clock.advance(5.0)
         async with asyncio.timeout(10):
-            await feed.make_sure(limit_s=10.0)
+            await feed.ensure_fresh(limit_s=10.0)
         assert relaxed_watches[:2] == [True, False]
         assert feed.age.age_s == 0.0
         following.cancel()
@@ -284,7 +284,7 @@
         clock = ManualClock()
         store = ScriptedStore([], [])
         feed = a_feed(store, clock)
-        feed.age.note_look(clock.now_s)
+        feed.age.note_store_read(clock.now_s)
         clock.advance(1.0)
         feed._requested_s = clock.now_s
         feed._note_failure(StoreError("no answer in time", step=Step.STORE))
@@ -336,19 +336,19 @@
 
 
 def run_after_backoff(
-    course: Callable[[Feed], Awaitable[None]],
+    course: Callable[[StoreWatcher], Awaitable[None]],
 ) -> FailingStore:
     """Let the pauses of a feed grow, run `course`, return the store."""
     store = FailingStore(takes_s=TAKES_S)
 
     async def run() -> None:
-        feed = Feed(
+        feed = StoreWatcher(
             store,
             "config",
             clock=LoopClock(),
             on_listing=lambda _: None,
             on_change=lambda _: None,
-            pace=lambda: Pace(backoff_max_s=MAX_PAUSE_S),
+            pace=lambda: WatchPolicy(backoff_max_s=MAX_PAUSE_S),
             urgent=True,
         )
         following = asyncio.ensure_future(feed.run())
@@ -367,7 +367,7 @@
     # Another VM announces a revision during a call of this VM. It must not be
     # dropped when the call fails: later messages repeat it, but not as a new
     # revision.
-    async def course(feed: Feed) -> None:
+    async def course(feed: StoreWatcher) -> None:
         await asyncio.sleep(TAKES_S / 3)
         feed.hear(9)
         await asyncio.sleep(MAX_PAUSE_S)
@@ -378,7 +378,7 @@
 def test_pauses_stay_short_while_a_peer_has_a_newer_revision() -> None:
     # A failed read does not show what other VMs have. Until the table has the
     # revision, the pauses must not grow to their maximum again.
-    async def course(feed: Feed) -> None:
+    async def course(feed: StoreWatcher) -> None:
         await asyncio.sleep(2 * TAKES_S)
         feed.hear(9)
         for _ in range(100):
@@ -394,7 +394,7 @@
 def test_pauses_stay_long_without_a_newer_revision() -> None:
     # A failing store is not called at short intervals without a reason, and a
     # message without a newer revision is none.
-    async def course(feed: Feed) -> None:
+    async def course(feed: StoreWatcher) -> None:
         for _ in range(5 * 60):
             await asyncio.sleep(0.2)
             feed.hear(0)
--- a/tests/test_late_calls.py
+++ b/tests/test_late_calls.py
@@ -7,14 +7,14 @@
 import pytest
 from fleet_world import play
 
-from rosepath.late_calls import OnBegun, first_response
+from rosepath.late_calls import OnResponseStart, first_response
 
 SLOW_AFTER_S = 0.5
 HEDGE_INTERVAL_S = 1.0
 T = TypeVar("T")
 
 
-async def ask(call: Callable[[OnBegun], Awaitable[T]], *, max_concurrent: int = 2) -> T:
+async def ask(call: Callable[[OnResponseStart], Awaitable[T]], *, max_concurrent: int = 2) -> T:
     return await first_response(
         call,
         slow_after_s=SLOW_AFTER_S,
@@ -29,7 +29,7 @@
     async def run() -> None:
         late: list[float] = []
 
-        async def call(_: OnBegun) -> str:
+        async def call(_: OnResponseStart) -> str:
             await asyncio.sleep(0.7)
             return "answer"
 
@@ -55,7 +55,7 @@
     async def run() -> None:
         calls: list[int] = []
 
-        async def call(_: OnBegun) -> int:
+        async def call(_: OnResponseStart) -> int:
             calls.append(len(calls))
             if len(calls) == 1:
                 await asyncio.Event().wait()
@@ -74,9 +74,9 @@
     async def run() -> None:
         calls: list[int] = []
 
-        async def call(on_begun: OnBegun) -> str:
+        async def call(on_response_start: OnResponseStart) -> str:
             calls.append(1)
-            on_begun()
+            on_response_start()
             await asyncio.sleep(4 * SLOW_AFTER_S)
             return "large answer"
 
@@ -92,7 +92,7 @@
     async def run() -> None:
         made: list[int] = []
 
-        async def call(_: OnBegun) -> str:
+        async def call(_: OnResponseStart) -> str:
             made.append(1)
             if len(made) == 2:
                 raise ConnectionError
@@ -108,7 +108,7 @@
     # A store that rejects calls must be detected at once. If the exception
     # were suppressed, the rejection would look like a wait.
     async def run() -> None:
-        async def call(_: OnBegun) -> str:
+        async def call(_: OnResponseStart) -> str:
             raise ConnectionError
 
         with pytest.raises(ConnectionError):
@@ -124,7 +124,7 @@
         begun_s = loop.time()
         made_s: list[float] = []
 
-        async def call(_: OnBegun) -> str:
+        async def call(_: OnResponseStart) -> str:
             made_s.append(loop.time() - begun_s)
             if loop.time() < begun_s + 10.0:
                 await asyncio.sleep(4.0)
@@ -144,12 +144,12 @@
     async def run() -> None:
         made: list[int] = []
 
-        async def call(on_begun: OnBegun) -> str:
+        async def call(on_response_start: OnResponseStart) -> str:
             made.append(1)
             if len(made) == 1:
                 await asyncio.sleep(4.0)
             if len(made) == 2:
-                on_begun()
+                on_response_start()
                 await asyncio.sleep(0.5)
                 raise TimeoutError
             return "answer"
@@ -166,7 +166,7 @@
     async def run() -> None:
         made: list[int] = []
 
-        async def call(_: OnBegun) -> str:
+        async def call(_: OnResponseStart) -> str:
             made.append(1)
             if len(made) == 1:
                 await asyncio.sleep(4.0)
--- a/tests/test_peer_link.py
+++ b/tests/test_peer_link.py
@@ -65,13 +65,13 @@
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     exchange, sent = a_link(ManualClock(), monkeypatch)
-    exchange._tables.servers_feed.age.note_look(999.0)
+    exchange._tables.servers_watcher.age.note_store_read(999.0)
     exchange.link.datagram_received(
         encode(Forwarded(word=encoded_state(), delay_s=0.4)), ("", 0)
     )
     assert sent.messages == []
-    assert exchange._tables.servers_feed.age.told_age_s == pytest.approx(0.6)
-    assert exchange._tables.catalog_feed.age.told_age_s == pytest.approx(0.7)
+    assert exchange._tables.servers_watcher.age.told_age_s == pytest.approx(0.6)
+    assert exchange._tables.catalog_watcher.age.told_age_s == pytest.approx(0.7)
 
 
 def test_a_vm_that_was_frozen_forwards_no_message(
--- a/tests/test_reads_left_to_arrive.py
+++ b/tests/test_reads_left_to_arrive.py
@@ -16,15 +16,15 @@
 )
 from virtual_time import LoopClock
 
-from rosepath.feed import Feed, Pace
+from rosepath.feed import StoreWatcher, WatchPolicy
 
 # How long a full listing takes to arrive over a slow link.
 ARRIVES_S = 2.5
 
 
-def a_feed(taken_s: dict[int, float], pace: Pace) -> Feed:
+def a_feed(taken_s: dict[int, float], pace: WatchPolicy) -> StoreWatcher:
     """Build a feed that records when it listed each revision."""
-    return Feed(
+    return StoreWatcher(
         a_store(),
         "config",
         clock=LoopClock(),
@@ -36,7 +36,7 @@
 
 
 def read_beside_a_silent_watch(
-    pace: Pace, course: Callable[[Feed], None] = lambda _: None
+    pace: WatchPolicy, course: Callable[[StoreWatcher], None] = lambda _: None
 ) -> int:
     """Return how many listings are requested until one is received."""
     asked: list[str] = []
@@ -69,13 +69,13 @@
 def test_a_failed_watch_does_not_cancel_the_concurrent_read() -> None:
     # The watch's connection is dead. The concurrent read was cancelled as the
     # watch timed out, and started again at its first byte.
-    assert read_beside_a_silent_watch(Pace(wait_s=0.5)) == 1
+    assert read_beside_a_silent_watch(WatchPolicy(wait_s=0.5)) == 1
 
 
 def test_cancelling_a_relaxed_watch_does_not_cancel_the_concurrent_read() -> None:
     # That read is receiving the newer revision for which the watch is
     # cancelled.
-    pace = Pace(wait_s=10.0, relaxed=True, copy_wait_s=0.1)
+    pace = WatchPolicy(wait_s=10.0, relaxed=True, copy_wait_s=0.1)
     assert read_beside_a_silent_watch(pace, lambda feed: feed.hear(6)) == 1
 
 
@@ -95,7 +95,7 @@
         return [(0.01, answer({**a_listing(6), "atRevision": 7}))]
 
     async def run() -> None:
-        feed = a_feed(taken_s, Pace(wait_s=0.6))
+        feed = a_feed(taken_s, WatchPolicy(wait_s=0.6))
         following = asyncio.ensure_future(feed.run())
         await asyncio.sleep(3.0)
         feed.hear(6)
@@ -112,7 +112,7 @@
     taken_s: dict[int, float] = {}
 
     async def run() -> None:
-        following = asyncio.ensure_future(a_feed(taken_s, Pace()).run())
+        following = asyncio.ensure_future(a_feed(taken_s, WatchPolicy()).run())
         await asyncio.sleep(8 * slow_s)
         following.cancel()
         assert 5 in taken_s
--- a/tests/test_slow_looks.py
+++ b/tests/test_slow_looks.py
@@ -7,7 +7,7 @@
 from entry_builders import a_server_document
 from virtual_time import LoopClock, VirtualLoop
 
-from rosepath.feed import Pace
+from rosepath.feed import WatchPolicy
 from rosepath.object_store import Change, Listing, StoredObject
 from rosepath.store_tables import REFRESH_TIMEOUT_S, StoreTables
 
@@ -51,21 +51,21 @@
         tables = StoreTables(
             store,
             clock=LoopClock(),
-            servers_pace=lambda: Pace(wait_s=0.5),
-            catalog_pace=Pace,
+            servers_watch_policy=lambda: WatchPolicy(wait_s=0.5),
+            catalog_watch_policy=WatchPolicy,
             on_catalog=lambda _: None,
             drain_s=DRAIN_S,
         )
-        following = asyncio.ensure_future(tables.servers_feed.run())
+        following = asyncio.ensure_future(tables.servers_watcher.run())
         await asyncio.sleep(1.0)
         store.takes_s = 30.0
         loop = asyncio.get_running_loop()
         ends_s = loop.time() + 2 * DRAIN_S
         while loop.time() < ends_s:
             begun_s = loop.time()
-            await tables.make_sure()
+            await tables.ensure_fresh()
             assert loop.time() - begun_s <= REFRESH_TIMEOUT_S + 0.01
-            assert tables.sound
+            assert tables.fresh_enough
             await asyncio.sleep(0.1)
         following.cancel()
 
--- a/tests/test_slow_store_answers.py
+++ b/tests/test_slow_store_answers.py
@@ -7,7 +7,7 @@
 from store_wire import Pieces, a_store, answer, no_change, play
 from virtual_time import LoopClock, now_s
 
-from rosepath.feed import Pace
+from rosepath.feed import WatchPolicy
 from rosepath.store_tables import StoreTables
 
 DRAIN_S = 2.0
@@ -40,8 +40,8 @@
     return StoreTables(
         a_store(),
         clock=LoopClock(),
-        servers_pace=lambda: Pace(wait_s=WAIT_S),
-        catalog_pace=Pace,
+        servers_watch_policy=lambda: WatchPolicy(wait_s=WAIT_S),
+        catalog_watch_policy=WatchPolicy,
         on_catalog=lambda _: None,
         drain_s=DRAIN_S,
         settle_s=SETTLE_S,
@@ -56,7 +56,7 @@
 
     async def run() -> None:
         tables = the_tables()
-        following = asyncio.ensure_future(tables.servers_feed.run())
+        following = asyncio.ensure_future(tables.servers_watcher.run())
         await asyncio.sleep(5.0)
         store.slow_from_s = now_s()
         held_s: list[float] = []
@@ -64,8 +64,8 @@
         async def ask() -> None:
             begun_s = now_s()
             while True:
-                await tables.make_sure()
-                if tables.sound:
+                await tables.ensure_fresh()
+                if tables.fresh_enough:
                     break
             held_s.append(now_s() - begun_s)
 
--- a/tests/test_store_calls.py
+++ b/tests/test_store_calls.py
@@ -20,7 +20,7 @@
 )
 from virtual_time import LoopClock
 
-from rosepath.feed import Feed, Pace
+from rosepath.feed import StoreWatcher, WatchPolicy
 from rosepath.object_store import StoreError
 
 CONFIG = "config"
@@ -119,13 +119,13 @@
     play(lambda _: (), run)
 
 
-def a_feed(taken_s: dict[int, float], *, pace: Callable[[], Pace] = Pace) -> Feed:
+def a_feed(taken_s: dict[int, float], *, pace: Callable[[], WatchPolicy] = WatchPolicy) -> StoreWatcher:
     """Build a feed that records when it received each revision."""
 
     def take(change: Any) -> None:
         taken_s[change.revision] = now_s()
 
-    return Feed(
+    return StoreWatcher(
         a_store(),
         CONFIG,
         clock=LoopClock(),
@@ -175,7 +175,7 @@
 
 
 def follow_a_slow_answer(
-    course: Callable[[Feed], None], *, pace: Callable[[], Pace] = Pace
+    course: Callable[[StoreWatcher], None], *, pace: Callable[[], WatchPolicy] = WatchPolicy
 ) -> tuple[list[str], dict[int, float]]:
     """Run `course` as a change arrives for 1.5 s; return the watches made.
 
@@ -219,10 +219,10 @@
     # cancelled the watch that was receiving the change.
     wait_s = [10.0]
 
-    def shorten(_: Feed) -> None:
+    def shorten(_: StoreWatcher) -> None:
         wait_s[0] = 0.8
 
-    asked, taken_s = follow_a_slow_answer(shorten, pace=lambda: Pace(wait_s=wait_s[0]))
+    asked, taken_s = follow_a_slow_answer(shorten, pace=lambda: WatchPolicy(wait_s=wait_s[0]))
     assert len(asked) == 1
     assert taken_s[6] <= taken_s[5] + 1.5 + SLACK_S
 
@@ -243,7 +243,7 @@
         return in_pieces(answer(whole), 10, first_s=0.07, gap_s=0.07)
 
     async def run() -> None:
-        feed = a_feed(taken_s, pace=lambda: Pace(wait_s=wait_s[0]))
+        feed = a_feed(taken_s, pace=lambda: WatchPolicy(wait_s=wait_s[0]))
         following = asyncio.ensure_future(feed.run())
         await asyncio.sleep(0.1)
         feed.hear(6)
--- a/tests/test_store_tables.py
+++ b/tests/test_store_tables.py
@@ -8,7 +8,7 @@
 from entry_builders import a_server_document
 
 from rosepath.clock import ManualClock
-from rosepath.feed import Pace
+from rosepath.feed import WatchPolicy
 from rosepath.object_store import Change, Listing, StoredObject
 from rosepath.store_tables import ENTRY_RETURN_S, StoreTables
 
@@ -35,8 +35,8 @@
     return StoreTables(
         NoStore(),
         clock=clock,
-        servers_pace=Pace,
-        catalog_pace=Pace,
+        servers_watch_policy=WatchPolicy,
+        catalog_watch_policy=WatchPolicy,
         on_catalog=lambda _: None,
         **options,
     )
@@ -49,7 +49,7 @@
 
 def reported_removed(store_tables: StoreTables) -> list[str]:
     """Return the servers that are reported to other VMs as removed."""
-    return [server.name for server in store_tables.leaves.told()[0] if server.gone_at]
+    return [server.name for server in store_tables.departures.told()[0] if server.gone_at]
 
 
 def listing(*objects: StoredObject, revision: int = 5) -> Listing:
@@ -69,7 +69,7 @@
         clock = ManualClock()
         store_tables = tables(clock)
         store_tables._servers_listed(listing(server("i-1"), server("i-2")))
-        store_tables.servers_feed.store_unavailable = True
+        store_tables.servers_watcher.store_unavailable = True
         store_tables._servers_listed(listing())
         assert set(store_tables.fleet.servers) == {"i-1", "i-2"}
         store_tables._servers_changed(
@@ -130,7 +130,7 @@
     async def run() -> None:
         store_tables = tables(ManualClock())
         store_tables._servers_listed(listing(server("i-1")))
-        store_tables.note_trouble()
+        store_tables.note_store_failure()
         removed = frozenset({"servers/i-1"})
         store_tables._servers_changed(Change(revision=6, written={}, removed=removed))
         assert set(store_tables.fleet.servers) == {"i-1"}
@@ -190,8 +190,8 @@
         clock = ManualClock()
         store_tables = tables(clock, drain_s=2.0)
         store_tables._servers_listed(listing(server("i-1")))
-        store_tables.servers_feed.age.note_look(clock.now_s)
-        store_tables.note_trouble()
+        store_tables.servers_watcher.age.note_store_read(clock.now_s)
+        store_tables.note_store_failure()
         waits_s: list[float] = []
         loop = asyncio.get_running_loop()
         loop.call_later = lambda wait_s, *_: waits_s.append(wait_s)  # type: ignore
@@ -213,16 +213,16 @@
         clock = ManualClock()
         store_tables = tables(clock, drain_s=2.0, settle_s=3.0)
         store_tables._servers_listed(listing(server("i-1")))
-        store_tables.servers_feed.age.note_look(clock.now_s)
+        store_tables.servers_watcher.age.note_store_read(clock.now_s)
         if own_outage:
             # The failed call was sent 1.2 s ago: the VM settles in 1.8 s.
             clock.advance(0.3)
-            store_tables.servers_feed._last_failure_s = clock.now_s
-            store_tables.servers_feed.store_unavailable = True
+            store_tables.servers_watcher._last_failure_s = clock.now_s
+            store_tables.servers_watcher.store_unavailable = True
             clock.advance(1.2)
         else:
             clock.advance(1.5)
-            store_tables.note_trouble()
+            store_tables.note_store_failure()
         waits_s: list[float] = []
         loop = asyncio.get_running_loop()
         loop.call_later = lambda wait_s, *_: waits_s.append(wait_s)  # type: ignore
@@ -233,9 +233,9 @@
         # Nor does this VM report a current table meanwhile: other VMs would
         # use the server until its departure is reported, one message interval
         # later.
-        store_tables.servers_feed.age.note_look(clock.now_s)
-        assert store_tables.vouched_age_s == 1.5
+        store_tables.servers_watcher.age.note_store_read(clock.now_s)
+        assert store_tables.reported_age_s == 1.5
         store_tables._remove_if_absent("i-1")
-        assert store_tables.vouched_age_s == 0.0
+        assert store_tables.reported_age_s == 0.0
 
     asyncio.run(run())
--- a/tests/test_table_age.py
+++ b/tests/test_table_age.py
@@ -13,11 +13,11 @@
     # knows the servers as of seven seconds ago would miss those in between.
     clock = ManualClock()
     age = TableAge(clock=clock, boot_clock=clock)
-    age.note_look(clock.now_s)
+    age.note_store_read(clock.now_s)
     clock.advance(7.0)
     age.hear(known_ago_s=0.1, complete_ago_s=5.0)
     assert age.age_s == 7.0
-    age.note_look(clock.now_s - 4.0)
+    age.note_store_read(clock.now_s - 4.0)
     age.hear(known_ago_s=0.1, complete_ago_s=5.0)
     assert round(age.age_s, 3) == 0.1
 
@@ -28,12 +28,12 @@
     # just sent.
     clock, boot = ManualClock(), ManualClock()
     age = TableAge(clock=clock, boot_clock=boot)
-    age.note_look(boot.now_s)
+    age.note_store_read(boot.now_s)
     boot.advance(3.0)
     assert age.age_s == 3.0
     age.hear(known_ago_s=0.1, complete_ago_s=5.0)
     assert age.age_s > 1000.0
-    age.note_look(boot.now_s)
+    age.note_store_read(boot.now_s)
     age.hear(known_ago_s=0.1, complete_ago_s=5.0)
     assert age.age_s == 0.0
 
@@ -72,7 +72,7 @@
                 log.note(LeavingServer(name, 1))
         elif what == "look":
             known = set(left_s)
-            age.note_look(clock.now_s)
+            age.note_store_read(clock.now_s)
         elif what == "word":
             leaving, complete_ago_s = log.told()
             known |= {server.name for server in leaving}
--- a/tests/test_unknown_routes.py
+++ b/tests/test_unknown_routes.py
@@ -74,7 +74,7 @@
     async def course(world: World, node: EntryNode) -> Asked:
         world.bytes_per_s[VM] = SIZE / (0.6 * WAIT_S)
         world.configure(3, paths=PATHS, size=SIZE)
-        node.tables.catalog_feed.hear(world.revision)
+        node.tables.catalog_watcher.hear(world.revision)
         return await ask(world, NEW)
 
     asked = ask_in(monkeypatch, course)
@@ -90,7 +90,7 @@
     async def course(world: World, node: EntryNode) -> Asked:
         world.turn_away(VM)
         world.configure(3, paths=PATHS)
-        node.tables.catalog_feed.hear(world.revision)
+        node.tables.catalog_watcher.hear(world.revision)
         return await ask(world, NEW)
 
     asked = ask_in(monkeypatch, course)
@@ -106,7 +106,7 @@
     async def course(world: World, node: EntryNode) -> Asked:
         world.turn_away(VM)
         world.configure(3, paths=PATHS)
-        node.tables.catalog_feed.hear(world.revision)
+        node.tables.catalog_watcher.hear(world.revision)
         return await ask(world, "/drafts/1")
 
     asked = ask_in(monkeypatch, course)
@@ -120,7 +120,7 @@
     # With a configuration that is current there is nothing to wait for, and word
     # of the revision that is in force is no news.
     async def course(world: World, node: EntryNode) -> Asked:
-        node.tables.catalog_feed.hear(node.tables.catalog_feed.changed_revision)
+        node.tables.catalog_watcher.hear(node.tables.catalog_watcher.changed_revision)
         return await ask(world, NEW)
 
     asked = ask_in(monkeypatch, course)
@@ -135,7 +135,7 @@
     async def course(world: World, node: EntryNode) -> Asked:
         world.bytes_per_s[VM] = SIZE / (0.6 * WAIT_S)
         world.configure(3, size=SIZE)
-        node.tables.catalog_feed.hear(world.revision)
+        node.tables.catalog_watcher.hear(world.revision)
         return await ask(world, NEW)
 
     asked = ask_in(monkeypatch, course)
