--- a/src/rosepath/configuration_copies.py
+++ b/src/rosepath/configuration_copies.py
@@ -48,7 +48,7 @@
 _log = get_logger()
 
 
-class ConfigurationCopies:
+class PeerConfigurationFetcher:
     """Fetches newer configurations from other entry VMs.
 
     Passes them to the store watcher of the configuration, which applies them.
@@ -139,7 +139,7 @@
         return self._rng.choice(local or untried) if candidates else None
 
 
-def fetch_over(pool: HttpPool) -> Fetch:
+def http_fetcher(pool: HttpPool) -> Fetch:
     """Return a function that fetches over HTTP and raises ExchangeError."""
 
     async def fetch(address: str, newer_than: int) -> StoredObject | None:
@@ -180,7 +180,7 @@
     return data
 
 
-def copies_application(
+def configuration_application(
     configuration: Callable[[], StoredObject | None],
     *,
     slots: asyncio.Semaphore | None = None,
--- a/src/rosepath/entry_node.py
+++ b/src/rosepath/entry_node.py
@@ -12,9 +12,9 @@
 from rosepath.catalog import Catalog
 from rosepath.clock import BootClock, SystemClock
 from rosepath.configuration_copies import (
-    ConfigurationCopies,
-    copies_application,
-    fetch_over,
+    PeerConfigurationFetcher,
+    configuration_application,
+    http_fetcher,
 )
 from rosepath.configuration_view import ConfigurationView
 from rosepath.crash_watch import CrashWatch, life_of
@@ -107,7 +107,7 @@
             settings.entry_vm,
             clock=self.clock,
             probe=self.pool.probe,
-            on_news=lambda: self.exchange.tell_soon(),
+            on_news=lambda: self.exchange.send_state_soon(),
         )
         self.tables = StoreTables(
             self.store,
@@ -152,16 +152,16 @@
             crashes=self.crashes,
             boot_clock=BootClock(),
         )
-        self.copies = ConfigurationCopies(
+        self.copies = PeerConfigurationFetcher(
             settings.data_centre,
             self.tables.catalog_watcher,
             clock=self.clock,
             peers=self.peers,
-            fetch=fetch_over(HttpPool(clock=self.clock)),
+            fetch=http_fetcher(HttpPool(clock=self.clock)),
         )
         # Made here, so that a VM that is stopped before it listens can close it.
         self.copies_server = HTTPServer(
-            copies_application(lambda: self.tables.configuration)
+            configuration_application(lambda: self.tables.configuration)
         )
         self.isolation = Isolation(
             settings.data_centre,
@@ -227,7 +227,7 @@
         self.loops.forever(self.copies.run)
         self.loops.forever(self.exchange.join)
         self.loops.forever(self.exchange.link.run)
-        self.loops.every(FORGET_TICK_S, self.exchange.forget_silent)
+        self.loops.every(FORGET_TICK_S, self.exchange.drop_inactive_load)
         self.loops.every(ISOLATION_TICK_S, self.isolation.step)
         self.loops.every(LEASE_TICK_S, self._step_lease)
         self.loops.forever(self._plan)
@@ -242,7 +242,7 @@
         # kept, it would be cut without an answer when the grace is over.
         self.wait_limit_s = started_s + BALANCER_NOTICES_S
         _log.info("stopping", in_flight=len(self.gateway.open))
-        self.exchange.link.tell()
+        self.exchange.link.send_state()
         # Beside the wait: idle connections left open longer bring requests that this
         # VM then serves in what is left of its grace.
         giving_up = asyncio.ensure_future(self.coordinator.release())
@@ -263,7 +263,7 @@
         _log.info("stopped", cut=cut)
 
     async def _step_lease(self) -> None:
-        self.exchange.link.note_awake()
+        self.exchange.link.note_running()
         await self.coordinator.renew_or_acquire_lease()
 
     async def _plan(self) -> None:
@@ -378,10 +378,10 @@
         if self.coordinator.term:
             # The others may only look for it when they are told that there is one:
             # at once, and not with the next word, which a crowd waits long for.
-            asyncio.get_running_loop().call_soon(self.exchange.link.tell)
+            asyncio.get_running_loop().call_soon(self.exchange.link.send_state)
         else:
             # Those that are behind look for somebody else to ask than the holder.
-            asyncio.get_running_loop().call_soon(self.exchange.tell_soon)
+            asyncio.get_running_loop().call_soon(self.exchange.send_state_soon)
 
     def _heed_by_name(self, name: str, notice: ServerNotice) -> None:
         """Heed what an engine said of itself in an answer to an order or report."""
@@ -399,7 +399,7 @@
 
     def _heed_leaving(self, server: BackendServer) -> None:
         if self.tables.apply_announced_departure(server):
-            self.exchange.tell_soon()
+            self.exchange.send_state_soon()
 
     def _quarantine(self, content_keys: tuple[str, ...]) -> None:
         """Take in which requests crash servers from a time of other VMs."""
--- a/src/rosepath/held_moves.py
+++ b/src/rosepath/held_moves.py
@@ -29,13 +29,13 @@
         fleet: Fleet,
         caches: PromptCaches,
         changed: Callable[[], None],
-        tell: Callable[[], None],
+        send_state: Callable[[], None],
     ) -> None:
         self._clock = clock
         self._fleet = fleet
         self._caches = caches
         self._changed = changed
-        self._announce = tell
+        self._announce = send_state
         self._recent: deque[tuple[float, ResidencyChange]] = deque()
         self._last_number = 0
         self._last_applied: dict[tuple[str, str], int] = {}
--- a/src/rosepath/peer_exchange.py
+++ b/src/rosepath/peer_exchange.py
@@ -84,7 +84,7 @@
             clock=clock,
             describe=self._describe,
             on_state=self._apply_state,
-            on_ask=coordinator.answer,
+            on_adapter_request=coordinator.handle_adapter_request,
             data_centre=data_centre,
             boot_clock=boot_clock,
         )
@@ -110,8 +110,8 @@
         for stored in listing.objects.values():
             address = _member_address(stored)
             if address is not None:
-                self.peers.learn(stored.name.partition("/")[2], address)
-        self.link.tell()
+                self.peers.note_address(stored.name.partition("/")[2], address)
+        self.link.send_state()
         _log.info("joined", peers=sorted(self.peers.peers))
         await asyncio.Event().wait()
 
@@ -176,7 +176,7 @@
             isolated=self._crashes.isolated.told(merged=sends_totals, now_s=now_s),
         )
 
-    def tell_soon(self) -> None:
+    def send_state_soon(self) -> None:
         """Send one state message soon for all calls until then."""
         if not self._send_scheduled:
             self._send_scheduled = True
@@ -186,7 +186,7 @@
 
     def _send_scheduled_state(self) -> None:
         self._send_scheduled = False
-        self.link.tell()
+        self.link.send_state()
 
     def _apply_state(self, state: PeerState) -> None:
         if state.totals:
@@ -265,7 +265,7 @@
         if any(changes):
             self._tables.notify_waiters()
             if self._coordinator.term and self.peers.large_fleet:
-                self.tell_soon()
+                self.send_state_soon()
 
     def _apply_unreachable(self, state: PeerState) -> None:
         """Avoid servers that other VMs of this data centre cannot reach."""
@@ -299,7 +299,7 @@
                 server.peers[state.entry_vm] = total.minus(own_load(server))
         self._servers_with_load[state.entry_vm] = frozenset(state.totals)
 
-    async def forget_silent(self) -> None:
+    async def drop_inactive_load(self) -> None:
         """Drop the load of VMs that exceeded the inactivity timeout."""
         if self.peers.large_fleet and not self._coordinator.term:
             return
--- a/src/rosepath/peer_link.py
+++ b/src/rosepath/peer_link.py
@@ -8,9 +8,9 @@
 
 from rosepath.clock import Clock
 from rosepath.peer_messages import (
-    AdapterAsk,
+    AdapterRequest,
     AdapterReply,
-    Forwarded,
+    ForwardedState,
     Message,
     PeerState,
     decode,
@@ -26,7 +26,7 @@
 # may have waited in its socket all that time.
 MAX_PAUSE_S = 0.5
 
-OnAdapterRequest = Callable[[AdapterAsk], Awaitable[bool]]
+OnAdapterRequest = Callable[[AdapterRequest], Awaitable[bool]]
 
 
 class PeerLink(asyncio.DatagramProtocol):
@@ -40,7 +40,7 @@
         clock: Clock,
         describe: Callable[[str, int], PeerState],
         on_state: Callable[[PeerState], None],
-        on_ask: OnAdapterRequest,
+        on_adapter_request: OnAdapterRequest,
         data_centre: str = "",
         boot_clock: Clock | None = None,
     ) -> None:
@@ -53,7 +53,7 @@
         self._clock = clock
         self._describe = describe
         self._on_state = on_state
-        self._on_ask = on_ask
+        self._on_ask = on_adapter_request
         self.start = uuid.uuid4().hex[:8]
         self._number = 0
         self._rng = random.Random()
@@ -78,7 +78,7 @@
         # but is not a subclass.
         self._transport = cast(asyncio.DatagramTransport, transport)
 
-    def note_awake(self) -> None:
+    def note_running(self) -> None:
         """Record that this process is running; call several times a second."""
         self._last_running_s = self._boot_clock.monotonic_s()
 
@@ -86,27 +86,27 @@
         match decode(data):
             case PeerState() as state:
                 self._apply_state(state)
-            case Forwarded() as forwarded:
+            case ForwardedState() as forwarded:
                 self._forward(forwarded)
-                match decode(forwarded.word):
+                match decode(forwarded.payload):
                     case PeerState() as state:
                         self._apply_state(state.delayed_by(forwarded.delay_s))
-            case AdapterAsk() as request:
+            case AdapterRequest() as request:
                 # A request that is resent while the first is in progress must
                 # not be executed twice.
-                if request.ask_id not in self._requests_in_progress:
-                    self._requests_in_progress.add(request.ask_id)
+                if request.adapter_request_id not in self._requests_in_progress:
+                    self._requests_in_progress.add(request.adapter_request_id)
                     asyncio.ensure_future(self._reply(request))
             case AdapterReply() as reply:
-                pending = self._pending_replies.get(reply.ask_id)
+                pending = self._pending_replies.get(reply.adapter_request_id)
                 if pending is not None and not pending.done():
                     pending.set_result(reply.ready)
 
     def _apply_state(self, state: PeerState) -> None:
-        if self._table.take(state):
+        if self._table.apply_state(state):
             self._on_state(state)
 
-    def _forward(self, forwarded: Forwarded) -> None:
+    def _forward(self, forwarded: ForwardedState) -> None:
         """Forward the holder's state message to the rest of this data centre.
 
         After a VM was frozen or suspended, the messages in its socket are
@@ -116,17 +116,17 @@
         paused_s = self._boot_clock.monotonic_s() - self._last_running_s
         if not forwarded.forward_to or paused_s > MAX_PAUSE_S:
             return
-        data = encode(Forwarded(word=forwarded.word, delay_s=paused_s))
+        data = encode(ForwardedState(payload=forwarded.payload, delay_s=paused_s))
         for address in forwarded.forward_to:
             self._send_data(data, address)
 
     async def run(self) -> None:
         """Send this VM's state message at each interval, indefinitely."""
         while True:
-            self.tell()
+            self.send_state()
             await asyncio.sleep(self._table.interval_s)
 
-    def tell(self) -> None:
+    def send_state(self) -> None:
         """Send this VM's state message now."""
         self._number += 1
         state = self._describe(self.start, self._number)
@@ -134,7 +134,7 @@
         if state.term > 0 and self._table.large_fleet:
             for peer, forward_to in self._table.hops(self._data_centre, rng=self._rng):
                 message = (
-                    encode(Forwarded(word=data, forward_to=forward_to))
+                    encode(ForwardedState(payload=data, forward_to=forward_to))
                     if forward_to
                     else data
                 )
@@ -143,10 +143,10 @@
         for peer in self._table.state_recipients(holding=state.term > 0, rng=self._rng):
             self._send_data(data, peer.address)
 
-    async def ask(self, request: AdapterAsk, address: str, *, limit_s: float) -> bool:
+    async def ask(self, request: AdapterRequest, address: str, *, limit_s: float) -> bool:
         """Send an adapter request; False if refused or unanswered in time."""
         future: asyncio.Future[bool] = asyncio.get_running_loop().create_future()
-        self._pending_replies[request.ask_id] = future
+        self._pending_replies[request.adapter_request_id] = future
         deadline_s = self._clock.monotonic_s() + limit_s
         try:
             while (left_s := deadline_s - self._clock.monotonic_s()) > 0:
@@ -158,16 +158,16 @@
                     return future.result()
             return False
         finally:
-            del self._pending_replies[request.ask_id]
+            del self._pending_replies[request.adapter_request_id]
 
-    async def _reply(self, request: AdapterAsk) -> None:
+    async def _reply(self, request: AdapterRequest) -> None:
         try:
             ready = await self._on_ask(request)
             self._send(
-                AdapterReply(ask_id=request.ask_id, ready=ready), request.reply_to
+                AdapterReply(adapter_request_id=request.adapter_request_id, ready=ready), request.reply_to
             )
         finally:
-            self._requests_in_progress.discard(request.ask_id)
+            self._requests_in_progress.discard(request.adapter_request_id)
 
     def _send(self, message: Message, address: str) -> None:
         self._send_data(encode(message), address)
--- a/src/rosepath/peer_messages.py
+++ b/src/rosepath/peer_messages.py
@@ -115,10 +115,10 @@
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
-class AdapterAsk:
+class AdapterRequest:
     """Request to the lease holder to load an adapter onto an engine."""
 
-    ask_id: str
+    adapter_request_id: str
     reply_to: str
     server: str
     service: str
@@ -130,31 +130,31 @@
 class AdapterReply:
     """Reply to an adapter request; `ready` if the adapter is loaded."""
 
-    ask_id: str
+    adapter_request_id: str
     ready: bool
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
-class Forwarded:
+class ForwardedState:
     """Another VM's encoded state message, sent through a forwarding VM.
 
     `forward_to` lists the addresses to which the receiver forwards it.
     `delay_s` is an upper bound on the time it waited at the forwarding VM.
     """
 
-    word: bytes
+    payload: bytes
     forward_to: tuple[str, ...] = ()
     delay_s: float = 0.0
 
 
-Message = PeerState | AdapterAsk | AdapterReply | Forwarded
+Message = PeerState | AdapterRequest | AdapterReply | ForwardedState
 
 
 def encode(message: Message) -> bytes:
     """Encode a message for one datagram."""
-    if isinstance(message, Forwarded):
+    if isinstance(message, ForwardedState):
         head = {"to": message.forward_to, "l": round(message.delay_s, 3)}
-        return FORWARDED_MARK + json.dumps(head).encode() + b"\n" + message.word
+        return FORWARDED_MARK + json.dumps(head).encode() + b"\n" + message.payload
     data = json.dumps(_encode_fields(message), separators=(",", ":")).encode()
     return zlib.compress(data) if len(data) > COMPRESSION_THRESHOLD_BYTES else data
 
@@ -163,10 +163,10 @@
     """Decode a datagram; None if it is not a valid message."""
     try:
         if data[:1] == FORWARDED_MARK:
-            head, _, word = data[1:].partition(b"\n")
+            head, _, payload = data[1:].partition(b"\n")
             raw = json.loads(head)
             to = tuple(map(str, raw["to"]))
-            return Forwarded(word=word, forward_to=to, delay_s=float(raw["l"]))
+            return ForwardedState(payload=payload, forward_to=to, delay_s=float(raw["l"]))
         if data[:1] == ZLIB_MARK:
             data = zlib.decompress(data)
         raw = json.loads(data)
@@ -174,8 +174,8 @@
             case "state":
                 return _decode_state(raw)
             case "ask":
-                return AdapterAsk(
-                    ask_id=str(raw["id"]),
+                return AdapterRequest(
+                    adapter_request_id=str(raw["id"]),
                     reply_to=str(raw["to"]),
                     server=str(raw["s"]),
                     service=str(raw["v"]),
@@ -183,17 +183,17 @@
                     adapter=str(raw["a"]),
                 )
             case "reply":
-                return AdapterReply(ask_id=str(raw["id"]), ready=bool(raw["ok"]))
+                return AdapterReply(adapter_request_id=str(raw["id"]), ready=bool(raw["ok"]))
     except (ValueError, KeyError, TypeError, IndexError, zlib.error):
         return None
     return None
 
 
-def _encode_fields(message: PeerState | AdapterAsk | AdapterReply) -> dict[str, Any]:
-    if isinstance(message, AdapterAsk):
+def _encode_fields(message: PeerState | AdapterRequest | AdapterReply) -> dict[str, Any]:
+    if isinstance(message, AdapterRequest):
         return {
             "t": "ask",
-            "id": message.ask_id,
+            "id": message.adapter_request_id,
             "to": message.reply_to,
             "s": message.server,
             "v": message.service,
@@ -201,7 +201,7 @@
             "a": message.adapter,
         }
     if isinstance(message, AdapterReply):
-        return {"t": "reply", "id": message.ask_id, "ok": message.ready}
+        return {"t": "reply", "id": message.adapter_request_id, "ok": message.ready}
     return {
         "t": "state",
         "vm": message.entry_vm,
--- a/src/rosepath/peer_table.py
+++ b/src/rosepath/peer_table.py
@@ -75,7 +75,7 @@
         # VMs whose latest message claims the placement lease.
         self._lease_claimants: dict[str, Peer] = {}
 
-    def learn(self, name: str, address: str) -> None:
+    def note_address(self, name: str, address: str) -> None:
         """Record the address of an entry VM, as read from the store."""
         if name == self._me:
             return
@@ -87,7 +87,7 @@
                 name=name, address=address, address_noted_s=self._clock.monotonic_s()
             )
 
-    def take(self, state: PeerState) -> bool:
+    def apply_state(self, state: PeerState) -> bool:
         """Apply a state message; return False if a newer one was applied."""
         if state.entry_vm == self._me:
             return False
--- a/src/rosepath/placement_coordinator.py
+++ b/src/rosepath/placement_coordinator.py
@@ -21,7 +21,7 @@
 from rosepath.order_dispatcher import DispatcherPorts, OrderDispatcher
 from rosepath.paced_call import ThrottledCall
 from rosepath.peer_link import PeerLink
-from rosepath.peer_messages import AdapterAsk, LeaseHandover, PeerState
+from rosepath.peer_messages import AdapterRequest, LeaseHandover, PeerState
 from rosepath.peer_table import PeerTable
 from rosepath.prompt_caches import PromptCaches
 from rosepath.rendezvous import ranked
@@ -97,7 +97,7 @@
             fleet=fleet,
             caches=caches,
             changed=changed,
-            tell=ThrottledCall(self._send_state, interval_s=self._move_interval_s).ask,
+            send_state=ThrottledCall(self._send_state, interval_s=self._move_interval_s).ask,
         )
         self._arrivals = ModelArrivals()
         self._was_holder = False
@@ -335,7 +335,7 @@
 
     def _send_state(self) -> None:
         if self.link is not None:
-            self.link.tell()
+            self.link.send_state()
 
     def _takeover_after_s(self) -> float:
         # In a large fleet, each VM has recent messages of only some others.
@@ -410,8 +410,8 @@
         holder = self._peers.holder()
         if holder is None or self.link is None:
             return False
-        ask = AdapterAsk(
-            ask_id=uuid.uuid4().hex[:12],
+        ask = AdapterRequest(
+            adapter_request_id=uuid.uuid4().hex[:12],
             reply_to=self._address,
             server=server.name,
             service=service,
@@ -423,7 +423,7 @@
             server.held[prompt.model].add(prompt.adapter)
         return ready
 
-    async def answer(self, ask: AdapterAsk) -> bool:
+    async def handle_adapter_request(self, ask: AdapterRequest) -> bool:
         """Load an adapter that another VM asks for; true once it is loaded."""
         return self.holds_lease and await self.orders.ensure_adapter(
             ask.service, ask.server, ask.model, ask.adapter
--- a/tests/fleet_world.py
+++ b/tests/fleet_world.py
@@ -284,7 +284,7 @@
         """Let a VM know the others, and run."""
         node = self.nodes[name]
         for other in self.nodes:
-            node.peers.learn(other, _address(other))
+            node.peers.note_address(other, _address(other))
         link = node.exchange.link
         link._rng = self.rng
         link.connection_made(cast(Any, Wire(self, name)))
@@ -327,7 +327,7 @@
 
     async def _stay_awake(self, name: str) -> None:
         while True:
-            self.nodes[name].exchange.link.note_awake()
+            self.nodes[name].exchange.link.note_running()
             await asyncio.sleep(LEASE_TICK_S)
 
     async def _renew(self, name: str) -> None:
--- a/tests/test_configuration_copies.py
+++ b/tests/test_configuration_copies.py
@@ -21,9 +21,9 @@
     NAME_HEADER,
     PATH,
     REVISION_HEADER,
-    ConfigurationCopies,
-    copies_application,
-    fetch_over,
+    PeerConfigurationFetcher,
+    configuration_application,
+    http_fetcher,
 )
 from rosepath.errors import ExchangeError, Step
 from rosepath.feed import StoreWatcher
@@ -51,7 +51,7 @@
         clock = LoopClock()
         self.peers = PeerTable("me", clock=clock)
         for number in range(peers):
-            self.peers.learn(f"other-{number}", f"10.0.0.2:{number + 1}")
+            self.peers.note_address(f"other-{number}", f"10.0.0.2:{number + 1}")
         self.feed = StoreWatcher(
             FailingStore(),
             "config",
@@ -64,7 +64,7 @@
         self.failed: set[str] = set()
         self.stalled: set[str] = set()
         self.served = NEWER
-        self.fetcher = ConfigurationCopies(
+        self.fetcher = PeerConfigurationFetcher(
             "a",
             self.feed,
             clock=clock,
@@ -85,7 +85,7 @@
 
     def receive_state(self, name: str, *, data_centre: str, term: int = 0) -> None:
         state = a_peer_state(name, data_centre=data_centre, term=term)
-        self.peers.take(replace(state, address=name, configuration_revision=9))
+        self.peers.apply_state(replace(state, address=name, configuration_revision=9))
 
     async def catch_up(self, *, limit_s: float) -> float:
         """Announce a newer revision; return the time until it is applied."""
@@ -191,12 +191,12 @@
     async def run() -> None:
         served = StoredObject("config/main", 9, b"x" * size_bytes)
         slots = asyncio.Semaphore(MAX_CONCURRENT_RESPONSES)
-        application = copies_application(lambda: served, slots=slots)
+        application = configuration_application(lambda: served, slots=slots)
         socket, port = bind_unused_port()
         server = HTTPServer(application)
         server.add_socket(socket)
         pool = HttpPool(clock=SystemClock())
-        fetch = fetch_over(pool)
+        fetch = http_fetcher(pool)
         address = f"127.0.0.1:{port}"
         assert await fetch(address, 8) == served
         assert await fetch(address, 9) is None
@@ -238,7 +238,7 @@
         server.add_socket(socket)
         pool = HttpPool(clock=SystemClock())
         with pytest.raises(ExchangeError):
-            await fetch_over(pool)(f"127.0.0.1:{port}", 8)
+            await http_fetcher(pool)(f"127.0.0.1:{port}", 8)
         pool.close()
         server.stop()
 
--- a/tests/test_entry_node.py
+++ b/tests/test_entry_node.py
@@ -63,7 +63,7 @@
     # word to be missed; without a holder, all of a crowd watched twice as often.
     node = EntryNode(entry_settings("vm"))
     for number in range(40):
-        node.peers.learn(f"vm-{number}", f"10.0.0.1:{number}")
+        node.peers.note_address(f"vm-{number}", f"10.0.0.1:{number}")
     feed, staleness_limit_s = node.tables.catalog_watcher, 3.0
     other_s = catalog_watch_policy(node._following(feed, staleness_limit_s)).wait_s
     node.coordinator.leases.valid = lambda *_, **__: True  # type: ignore[method-assign]
--- a/tests/test_holder_words.py
+++ b/tests/test_holder_words.py
@@ -11,7 +11,7 @@
 
 from rosepath.fleet import Fleet, PeerLoad
 from rosepath.peer_link import PeerLink
-from rosepath.peer_messages import Forwarded, PeerState, decode
+from rosepath.peer_messages import ForwardedState, PeerState, decode
 from rosepath.peer_table import PeerTable
 from rosepath.placement_coordinator import (
     MOVE_INTERVAL_LARGE_FLEET_S,
@@ -49,8 +49,8 @@
         if not data:
             return []
         message = decode(data)
-        if isinstance(message, Forwarded):
-            message = decode(message.word)
+        if isinstance(message, ForwardedState):
+            message = decode(message.payload)
         assert isinstance(message, PeerState)
         return [move.server for move in message.moves]
 
@@ -60,7 +60,7 @@
     for vm in range(1, vms):
         data_centre = DATA_CENTRES[vm % len(DATA_CENTRES)]
         state = a_peer_state(f"vm-{vm}", number=number, data_centre=data_centre)
-        assert peers.take(state)
+        assert peers.apply_state(state)
 
 
 def a_holder(
@@ -104,7 +104,7 @@
         clock=clock,
         describe=describe,
         on_state=lambda _: None,
-        on_ask=coordinator.answer,
+        on_adapter_request=coordinator.handle_adapter_request,
         data_centre=DATA_CENTRES[0],
     )
     coordinator.link.connection_made(cast(Any, transport))
--- a/tests/test_isolation.py
+++ b/tests/test_isolation.py
@@ -14,7 +14,7 @@
 def heard(peers: PeerTable, *centres: str, number: int = 1) -> None:
     for centre in centres:
         state = a_peer_state(f"vm-{centre}", number=number, data_centre=centre)
-        assert peers.take(state)
+        assert peers.apply_state(state)
 
 
 def test_a_data_centre_that_hears_nobody_and_no_store_is_cut_off() -> None:
@@ -62,7 +62,7 @@
         heard(peers, "b")
         # A stopping VM of a third does not make one more.
         state = a_peer_state("vm-c", data_centre="c")
-        assert peers.take(replace(state, stopping=True))
+        assert peers.apply_state(replace(state, stopping=True))
         clock.advance(1.0)
         await isolation.step()
         assert not isolation.cut_off
--- a/tests/test_lease_backing.py
+++ b/tests/test_lease_backing.py
@@ -41,7 +41,7 @@
         return
 
     def receive(self, state: Any) -> None:
-        if self.peers.take(state):
+        if self.peers.apply_state(state):
             self.coordinator.handle_peer_state(state)
 
 
@@ -101,7 +101,7 @@
     node = Node(name, peers, coordinator, start=f"start-{name}")
     coordinator.link = cast(PeerLink, node)
     for other in NAMES:
-        peers.learn(other, "127.0.0.1:9")
+        peers.note_address(other, "127.0.0.1:9")
     return node
 
 
--- a/tests/test_peer_exchange.py
+++ b/tests/test_peer_exchange.py
@@ -73,7 +73,7 @@
     clock = ManualClock()
     holder = an_exchange("vm-a", clock, monkeypatch, term=3)
     other = an_exchange("vm-b", clock, monkeypatch)
-    holder.peers.learn("vm-b", "127.0.0.1:9")
+    holder.peers.note_address("vm-b", "127.0.0.1:9")
     holder.link.connection_made(cast(Any, DirectTransport(other)))
     for exchange in (holder, other):
         exchange._tables.fleet.put(an_entry("i-1"))
@@ -92,7 +92,7 @@
         holder, other = connected(monkeypatch)
         change = Change(revision=9, written={}, removed=frozenset({"servers/i-1"}))
         holder._tables._servers_changed(change)
-        holder.link.tell()
+        holder.link.send_state()
         assert set(other._tables.fleet.servers) == {"i-2"}
 
     asyncio.run(run())
@@ -111,11 +111,11 @@
             removed=frozenset(),
         )
         other._tables._servers_changed(back)
-        holder.link.tell()
+        holder.link.send_state()
         assert other._tables.fleet.servers["i-1"].usable
         # Nor after the holder has read the new entry.
         holder._tables._servers_changed(back)
-        holder.link.tell()
+        holder.link.send_state()
         assert other._tables.fleet.servers["i-1"].usable
 
     asyncio.run(run())
@@ -132,7 +132,7 @@
         holder, other = connected(monkeypatch)
         change = Change(revision=9, written={}, removed=frozenset({"servers/i-1"}))
         holder._tables._servers_changed(change)
-        holder.link.tell()
+        holder.link.send_state()
         other._tables._servers_listed(listing(server("i-1"), server("i-2")))
         assert set(other._tables.fleet.servers) == {"i-2"}
 
@@ -153,13 +153,13 @@
             sent.records.add(report)
         sent.records.quarantine("quarantined")
         sent.isolated.start("suspect", request_id="q1", server="i-2")
-        holder.link.tell()
+        holder.link.send_state()
         assert received.records.suspicion("quarantined") is Suspicion.QUARANTINED
         assert received.records.suspicion("suspect") is Suspicion.SUSPECT
         assert not received.may_go("suspect", request_id="q2")
         assert received.isolated.servers(now_s=now_s) == {"i-2"}
         sent.isolated.end("suspect", request_id="q1")
-        holder.link.tell()
+        holder.link.send_state()
         assert received.may_go("suspect", request_id="q2")
 
     asyncio.run(run())
--- a/tests/test_peer_link.py
+++ b/tests/test_peer_link.py
@@ -10,7 +10,7 @@
 from rosepath.clock import ManualClock
 from rosepath.peer_exchange import PeerExchange
 from rosepath.peer_link import MAX_PAUSE_S
-from rosepath.peer_messages import Forwarded, Message, PeerState, decode, encode
+from rosepath.peer_messages import ForwardedState, Message, PeerState, decode, encode
 
 
 class RecordingTransport:
@@ -48,11 +48,11 @@
 ) -> None:
     clock = ManualClock()
     exchange, sent = a_link(clock, monkeypatch)
-    exchange.link.note_awake()
+    exchange.link.note_running()
     clock.advance(0.15)
-    forwarded = Forwarded(word=encoded_state(), forward_to=("10.0.0.1:7", "10.0.0.2:7"))
+    forwarded = ForwardedState(payload=encoded_state(), forward_to=("10.0.0.1:7", "10.0.0.2:7"))
     exchange.link.datagram_received(encode(forwarded), ("", 0))
-    expected = Forwarded(word=encoded_state(), delay_s=0.15)
+    expected = ForwardedState(payload=encoded_state(), delay_s=0.15)
     assert sent.messages == [
         (expected, ("10.0.0.1", 7)),
         (expected, ("10.0.0.2", 7)),
@@ -67,7 +67,7 @@
     exchange, sent = a_link(ManualClock(), monkeypatch)
     exchange._tables.servers_watcher.age.note_store_read(999.0)
     exchange.link.datagram_received(
-        encode(Forwarded(word=encoded_state(), delay_s=0.4)), ("", 0)
+        encode(ForwardedState(payload=encoded_state(), delay_s=0.4)), ("", 0)
     )
     assert sent.messages == []
     assert exchange._tables.servers_watcher.age.told_age_s == pytest.approx(0.6)
@@ -82,9 +82,9 @@
     # data centre would send requests to a server that has departed meanwhile.
     clock = ManualClock()
     exchange, sent = a_link(clock, monkeypatch)
-    exchange.link.note_awake()
+    exchange.link.note_running()
     clock.advance(MAX_PAUSE_S + 2.0)
-    forwarded = Forwarded(word=encoded_state(), forward_to=("10.0.0.1:7",))
+    forwarded = ForwardedState(payload=encoded_state(), forward_to=("10.0.0.1:7",))
     exchange.link.datagram_received(encode(forwarded), ("", 0))
     assert sent.messages == []
 
@@ -96,9 +96,9 @@
     boot_clock = ManualClock()
     exchange, sent = a_link(ManualClock(), monkeypatch)
     exchange.link._boot_clock = boot_clock
-    exchange.link.note_awake()
+    exchange.link.note_running()
     boot_clock.advance(5.0)
-    forwarded = Forwarded(word=encoded_state(), forward_to=("10.0.0.1:7",))
+    forwarded = ForwardedState(payload=encoded_state(), forward_to=("10.0.0.1:7",))
     exchange.link.datagram_received(encode(forwarded), ("", 0))
     assert sent.messages == []
 
@@ -107,9 +107,9 @@
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     exchange, sent = a_link(ManualClock(), monkeypatch)
-    exchange.link.note_awake()
-    inner = encode(Forwarded(word=encoded_state(), forward_to=("10.0.0.1:7",)))
-    exchange.link.datagram_received(encode(Forwarded(word=inner)), ("", 0))
+    exchange.link.note_running()
+    inner = encode(ForwardedState(payload=encoded_state(), forward_to=("10.0.0.1:7",)))
+    exchange.link.datagram_received(encode(ForwardedState(payload=inner)), ("", 0))
     assert sent.messages == [] and not exchange.peers.last_holder_message()[0]
 
 
@@ -119,8 +119,8 @@
 
 
 def test_a_forwarded_message_is_decoded_as_it_was_encoded() -> None:
-    forwarded = Forwarded(
-        word=encoded_state(), forward_to=("10.0.0.1:7",), delay_s=0.25
+    forwarded = ForwardedState(
+        payload=encoded_state(), forward_to=("10.0.0.1:7",), delay_s=0.25
     )
     assert decode(encode(forwarded)) == forwarded
-    assert isinstance(decode(forwarded.word), PeerState)
+    assert isinstance(decode(forwarded.payload), PeerState)
--- a/tests/test_peer_messages.py
+++ b/tests/test_peer_messages.py
@@ -10,7 +10,7 @@
 from rosepath.fleet import LeavingServer, PeerLoad
 from rosepath.model_arrivals import ModelArrival
 from rosepath.peer_messages import (
-    AdapterAsk,
+    AdapterRequest,
     AdapterReply,
     LeaseHandover,
     ResidencyChange,
@@ -45,10 +45,10 @@
         arrivals=(ModelArrival("e3", "m2", 1.25),),
         moves=(ResidencyChange(1, "e1", "m", "a1", True),),
     )
-    ask = AdapterAsk(
-        ask_id="1", reply_to="h:1", server="e", service="s", model="m", adapter="a"
+    ask = AdapterRequest(
+        adapter_request_id="1", reply_to="h:1", server="e", service="s", model="m", adapter="a"
     )
-    for message in (state, ask, AdapterReply(ask_id="1", ready=True)):
+    for message in (state, ask, AdapterReply(adapter_request_id="1", ready=True)):
         assert decode(encode(message)) == message
 
 
@@ -71,8 +71,8 @@
 
 def test_a_reordered_older_message_is_not_applied() -> None:
     table = PeerTable("me", clock=ManualClock())
-    assert table.take(a_peer_state("vm-1", number=5))
-    assert not table.take(a_peer_state("vm-1", number=4))
+    assert table.apply_state(a_peer_state("vm-1", number=5))
+    assert not table.apply_state(a_peer_state("vm-1", number=4))
 
 
 def test_a_data_centre_is_cut_off_while_its_vms_send_nothing() -> None:
@@ -80,20 +80,20 @@
     # timeout. Missing messages of its VMs reveal the partition earlier.
     clock = ManualClock()
     table = PeerTable("me", clock=clock)
-    table.take(a_peer_state("vm-1", number=1, data_centre="b"))
-    table.take(a_peer_state("vm-2", number=1, data_centre="c"))
+    table.apply_state(a_peer_state("vm-1", number=1, data_centre="b"))
+    table.apply_state(a_peer_state("vm-2", number=1, data_centre="c"))
     clock.advance(0.6)
-    table.take(a_peer_state("vm-2", number=2, data_centre="c"))
+    table.apply_state(a_peer_state("vm-2", number=2, data_centre="c"))
     assert table.cut_off("a") == {"b"}
-    table.take(a_peer_state("vm-1", number=2, data_centre="b"))
+    table.apply_state(a_peer_state("vm-1", number=2, data_centre="b"))
     assert table.cut_off("a") == set()
 
 
 def test_the_holder_is_the_live_claimant_with_the_highest_term() -> None:
     clock = ManualClock()
     table = PeerTable("me", clock=clock)
-    table.take(a_peer_state("vm-1", term=3))
-    table.take(a_peer_state("vm-2", term=4))
+    table.apply_state(a_peer_state("vm-1", term=3))
+    table.apply_state(a_peer_state("vm-2", term=4))
     holder = table.holder()
     assert holder is not None and holder.name == "vm-2"
     clock.advance(1.0)
--- a/tests/test_peer_table.py
+++ b/tests/test_peer_table.py
@@ -14,7 +14,7 @@
 def a_table(count: int) -> PeerTable:
     table = PeerTable("me", clock=ManualClock())
     for number in range(count):
-        table.learn(f"vm-{number}", f"127.0.0.1:{number + 1}")
+        table.note_address(f"vm-{number}", f"127.0.0.1:{number + 1}")
     return table
 
 
@@ -33,7 +33,7 @@
     # All-to-all messages grow with the square of the fleet: 7,400 datagrams
     # per second at 91 VMs.
     table = a_table(LARGE_FLEET_VMS)
-    table.take(a_peer_state("vm-7", term=3))
+    table.apply_state(a_peer_state("vm-7", term=3))
     names = recipients(table)
     assert "vm-7" in names
     assert len(names) <= SAMPLED_VMS + 1
@@ -60,7 +60,7 @@
         state = replace(
             a_peer_state(name, data_centre=data_centre), address=f"10.0.0.1:{number}"
         )
-        table.take(state)
+        table.apply_state(state)
     return table
 
 
@@ -92,7 +92,7 @@
     table = a_table_of_three_data_centres(clock)
     clock.advance(2.0)
     state = replace(a_peer_state("vm-1", number=2, data_centre="b"), address="new:1")
-    table.take(state)
+    table.apply_state(state)
     hops = [hop for hop in table.hops("a", rng=random.Random(1)) if hop.forward_to]
     # No VM of the third data centre is active: each gets its own message.
     assert [hop.peer.name for hop in hops] == ["vm-1"]
@@ -104,5 +104,5 @@
     # bits from plan to plan, and these decided between equal swaps.
     table = a_table_of_three_data_centres(ManualClock())
     before = [peer.name for peer in table.live()]
-    table.take(a_peer_state("vm-5", number=2, data_centre="c"))
+    table.apply_state(a_peer_state("vm-5", number=2, data_centre="c"))
     assert [peer.name for peer in table.live()] == before
