--- a/src/rosepath/content_key.py
+++ b/src/rosepath/content_key.py
@@ -1,4 +1,4 @@
-"""What makes two requests the same, whoever sends them and under which id."""
+"""Identify requests with the same content, whatever their caller and id."""
 
 from hashlib import blake2b
 
@@ -8,9 +8,10 @@
 
 
 def content_key(call: CallerCall) -> str:
-    """Return a key that a request shares with its repeats, on every entry VM.
+    """Return a key that a request shares with its retries, on every entry VM.
 
-    A caller can't choose a body so that another caller's request gets its key.
+    The hash is cryptographic, so that no caller can craft a request that gets
+    the key of another caller's request.
     """
     digest = blake2b(digest_size=KEY_BYTES)
     for part in (call.method, call.host, call.path):
--- a/src/rosepath/crash_watch.py
+++ b/src/rosepath/crash_watch.py
@@ -1,4 +1,4 @@
-"""Find out which lost connections were crashes of servers, and what was in flight."""
+"""Detect which lost connections were crashes, and what was in flight."""
 
 import asyncio
 from collections.abc import Callable
@@ -18,24 +18,24 @@
 from rosepath.isolated_runs import IsolatedRuns
 from rosepath.logs import get_logger
 
-# A connection is refused within milliseconds where a machine lives.
-PROBE_LIMIT_S = 0.2
-# The entry of a server that crashed is gone or new by then, after three heartbeats
-# and a look at the store.
-LOSS_KEPT_S = 8.0
+# A running machine refuses a connection within milliseconds.
+PROBE_TIMEOUT_S = 0.2
+# By then the store entry of a crashed server is known to be removed or
+# replaced: this covers three heartbeats and one read of the store.
+LOST_RUN_TTL_S = 8.0
 
 _log = get_logger()
 
 
 class Probe(Protocol):
-    """Ask whether somebody listens at an address."""
+    """Test whether an address accepts connections."""
 
     async def __call__(self, address: str, *, limit_s: float) -> Contact: ...
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class LostRun:
-    """Describe a run whose connection was lost."""
+    """A run whose connection was lost or that timed out."""
 
     request_id: str
     content_key: str
@@ -44,11 +44,12 @@
 
 
 class CrashWatch:
-    """Report which requests were in flight at a server that crashed.
+    """Own the crash records, the isolated runs and the recently lost runs.
 
-    A reset connection alone is no crash: a middlebox may have cut it. The server
-    crashed if it then refuses connections, or if its entry is gone or that of
-    another life.
+    It reports which requests were in flight at a server that crashed.
+    A connection reset alone does not count as a crash, as a middlebox may have
+    caused it. A server has crashed if it then refuses connections, or if its
+    entry is removed or replaced by that of a new instance.
     """
 
     def __init__(
@@ -60,79 +61,81 @@
         self._clock = clock
         self._probe = probe
         self._on_news = on_news
-        self._lost: dict[ServerLife, list[LostRun]] = {}
+        self._lost_runs: dict[ServerLife, list[LostRun]] = {}
         self._probes: dict[ServerLife, asyncio.Task[None]] = {}
 
-    def note_silent(self, server: BackendServer, run: LostRun) -> None:
-        """Note a run that was broken off for the silence of its server.
+    def note_timeout(self, server: BackendServer, run: LostRun) -> None:
+        """Record a run aborted because its server exceeded a timeout.
 
-        Nobody asks whether such a server still listens: if its machine is dark,
-        that would only cost the request more time. Its entry will tell.
+        The server is not probed: if its machine does not respond, a probe only
+        delays the request further. A crash shows in the server's entry.
         """
         if server.usable:
-            self._keep(life_of(server), run)
+            self._record_lost(life_of(server), run)
 
     async def note_lost(self, server: BackendServer, run: LostRun) -> None:
-        """Note a lost run; return once it is known whether its server crashed.
+        """Record a lost run and wait for the result of a probe of its server.
 
-        Sent on before that, a request that crashes servers would crash the next.
-        What a draining server breaks off is no sign of a crash.
+        A request that crashes servers must not be retried before that, or it
+        crashes the next server. Runs lost at a draining server are ignored.
         """
         if not server.usable:
             return
         life = life_of(server)
-        self._keep(life, run)
+        self._record_lost(life, run)
         probe = self._probes.get(life)
         if probe is None:
-            probe = asyncio.ensure_future(self._find_out(server.address, life))
+            probe = asyncio.ensure_future(self._probe_server(server.address, life))
             self._probes[life] = probe
-        # Of many that wait for it, one may be cancelled as its caller leaves.
+        # Several requests may share the probe; one that is cancelled because
+        # its caller disconnected must not cancel the probe.
         await asyncio.shield(probe)
 
-    async def _find_out(self, address: str, life: ServerLife) -> None:
+    async def _probe_server(self, address: str, life: ServerLife) -> None:
         begun_s = self._clock.monotonic_s()
         try:
-            contact = await self._probe(address, limit_s=PROBE_LIMIT_S)
+            contact = await self._probe(address, limit_s=PROBE_TIMEOUT_S)
         finally:
             del self._probes[life]
         if contact is Contact.REFUSED:
             self.note_crashed(life)
         elif contact is Contact.ACCEPTED:
-            self._forget(life, until_s=begun_s)
+            self._drop_lost(life, until_s=begun_s)
 
     def note_crashed(self, life: ServerLife) -> None:
-        """Report what a server that crashed had in flight just before."""
-        self._forget_old()
-        for run in self._lost.pop(life, ()):
+        """Report the runs that a crashed server lost recently."""
+        self._drop_expired()
+        for run in self._lost_runs.pop(life, ()):
             self._report_crash(
                 CrashReport(run.content_key, life, run.exposure), run.request_id
             )
 
     def may_go(self, content_key: str, *, request_id: str) -> bool:
-        """Tell whether a suspect may be sent now, isolated from others."""
+        """Return whether a suspect may be sent now, without other suspects."""
         return self.isolated.may_start(
             content_key,
             me=self._me,
             request_id=request_id,
             now_s=self._clock.monotonic_s(),
-            announces=self._is_dangerous(content_key),
+            announces=self._may_be_quarantined(content_key),
         )
 
     def end_isolation(self, content_key: str, *, request_id: str) -> bool:
-        """End a suspect's isolation after a while; return whether it is over.
+        """End the isolation of a suspect that ran for a while.
 
-        One that was at enough crashes to be quarantined stays isolated to its end.
+        A suspect at enough crashes for quarantine stays isolated until its run
+        ends. Return whether the isolation ended.
         """
-        if self._is_dangerous(content_key):
+        if self._may_be_quarantined(content_key):
             return False
         self.isolated.end(content_key, request_id=request_id)
         return True
 
-    def _is_dangerous(self, content_key: str) -> bool:
+    def _may_be_quarantined(self, content_key: str) -> bool:
         return self.records.open_crashes(content_key) >= CRASHES_TO_QUARANTINE
 
     def clear(self, content_key: str) -> None:
-        """Note that a run of a request completed."""
+        """Record that a run of a request completed."""
         if self.records.clear(content_key):
             self._on_news()
 
@@ -149,22 +152,24 @@
             suspicion=self.records.suspicion(report.content_key).name.lower(),
         )
 
-    def _keep(self, life: ServerLife, run: LostRun) -> None:
-        self._forget_old()
-        self._lost.setdefault(life, []).append(run)
+    def _record_lost(self, life: ServerLife, run: LostRun) -> None:
+        self._drop_expired()
+        self._lost_runs.setdefault(life, []).append(run)
 
-    def _forget_old(self) -> None:
-        limit_s = self._clock.monotonic_s() - LOSS_KEPT_S
-        for life in list(self._lost):
-            self._forget(life, until_s=limit_s)
+    def _drop_expired(self) -> None:
+        limit_s = self._clock.monotonic_s() - LOST_RUN_TTL_S
+        for life in list(self._lost_runs):
+            self._drop_lost(life, until_s=limit_s)
 
-    def _forget(self, life: ServerLife, *, until_s: float) -> None:
-        """Forget what a server lost until then."""
-        left = [run for run in self._lost.pop(life, ()) if run.lost_s > until_s]
-        if left:
-            self._lost[life] = left
+    def _drop_lost(self, life: ServerLife, *, until_s: float) -> None:
+        """Drop the runs that a server lost up to `until_s`."""
+        remaining = [
+            run for run in self._lost_runs.pop(life, ()) if run.lost_s > until_s
+        ]
+        if remaining:
+            self._lost_runs[life] = remaining
 
 
 def life_of(server: BackendServer) -> ServerLife:
-    """Return which life of a server this is."""
+    """Return the instance that a server's entry describes."""
     return ServerLife(server.name, server.entry.born_ms)
--- a/src/rosepath/isolation.py
+++ b/src/rosepath/isolation.py
@@ -1,23 +1,24 @@
-"""Whether this data centre is cut off from all others and from the store.
+"""Detect that this data centre is cut off from all others and from the store.
 
-Its VMs go on serving what reaches them, but callers are better off elsewhere:
-most models are not here, and nobody can order them. Unready VMs make the
-platform send callers to the nearest data centre that has ready ones.
+Its entry VMs keep serving requests, but most models are not resident here and
+cannot be ordered. While its VMs report not ready, the platform routes callers
+to the nearest data centre with ready ones.
 """
 
 from rosepath.logs import get_logger
 from rosepath.object_store import ObjectsPort, StoreError
 from rosepath.peer_table import PeerTable
 
-# Of two data centres that do not hear each other, neither knows which is cut
-# off; of three or more, the one that hears none of the others.
-OTHERS_NEEDED = 2
+# If two data centres receive nothing from each other, either may be the one
+# that is cut off. Among three or more, it is the one that receives nothing
+# from any of the others.
+MIN_OTHER_DATA_CENTRES = 2
 
 _log = get_logger()
 
 
 class Isolation:
-    """Hold what this VM believes of its data centre's links."""
+    """Own the state `cut_off`; while it is set, the entry VM is not ready."""
 
     def __init__(
         self, data_centre: str, *, peers: PeerTable, store: ObjectsPort, probe: str
@@ -29,11 +30,14 @@
         self.cut_off = False
 
     async def step(self) -> None:
-        """Look again; the store is asked only while nobody else is heard."""
+        """Update `cut_off`.
+
+        The store is read only if no other data centre sends state messages.
+        """
         others = self._peers.data_centres(self._data_centre)
         silent = self._peers.cut_off(self._data_centre)
-        alone = len(others) >= OTHERS_NEEDED and others <= silent
-        cut_off = alone and not await self._store_answers()
+        alone = len(others) >= MIN_OTHER_DATA_CENTRES and others <= silent
+        cut_off = alone and not await self._store_responds()
         if cut_off != self.cut_off:
             self.cut_off = cut_off
             _log.warning(
@@ -42,7 +46,7 @@
                 silent=sorted(silent),
             )
 
-    async def _store_answers(self) -> bool:
+    async def _store_responds(self) -> bool:
         try:
             await self._store.get(self._probe)
         except StoreError as error:
--- a/src/rosepath/suspects.py
+++ b/src/rosepath/suspects.py
@@ -1,4 +1,4 @@
-"""Send requests on by what is known of those that crash servers."""
+"""Decide whether and where requests that may crash servers are sent."""
 
 from typing import Any
 
@@ -7,30 +7,33 @@
 from rosepath.crash_records import Exposure, Suspicion
 from rosepath.crash_watch import CrashWatch, LostRun
 from rosepath.fleet import BackendServer, Flight
-from rosepath.isolated_runs import ISOLATED_S
+from rosepath.isolated_runs import ISOLATION_S
 from rosepath.request_context import RequestContext
 from rosepath.retries import Evidence
 
 
 class Suspects:
-    """Look up requests among the suspects, and note what becomes of their runs."""
+    """Look up requests in the crash records and report the outcome of runs.
+
+    The server picker uses it to choose servers, the relay to report outcomes.
+    """
 
     def __init__(self, crashes: CrashWatch, *, clock: Clock) -> None:
         self._crashes = crashes
         self._clock = clock
 
     def suspicion(self, context: RequestContext) -> Suspicion:
-        """Tell how a request may be sent on."""
+        """Return how a request may be sent."""
         records = self._crashes.records
-        # Without records, nobody pays for a key of what each request holds.
+        # Without records, the request body need not be hashed.
         return records.suspicion(context.content_key) if records else Suspicion.CLEAR
 
     def may_be_sent(self, context: RequestContext) -> bool:
-        """Tell whether a request does not look like one that crashes its servers."""
+        """Return whether a request is not considered the cause of crashes."""
         return self.suspicion(context) < Suspicion.HELD
 
     def avoided_servers(self, context: RequestContext) -> frozenset[str] | None:
-        """Return the servers that a request keeps off; None if it must wait."""
+        """Return the servers a request must avoid; None if it must wait."""
         suspicion = self.suspicion(context)
         if suspicion is Suspicion.CLEAR:
             return frozenset()
@@ -44,7 +47,7 @@
     def start(
         self, context: RequestContext, server: BackendServer, flight: Flight
     ) -> None:
-        """Note that a request is sent to a server."""
+        """Record that a request is sent to a server."""
         flight.isolated = self.suspicion(context) is Suspicion.SUSPECT
         if flight.isolated:
             self._crashes.isolated.start(
@@ -54,27 +57,32 @@
             )
 
     def note_events(self, context: RequestContext, flight: Flight) -> None:
-        """Note that events came; what runs for long need not stay isolated."""
+        """Record that events arrived, and end the isolation of a long run.
+
+        Isolation ends once more than `ISOLATION_S` have passed since the first
+        event from this server.
+        """
         now_s = self._clock.monotonic_s()
         if flight.begun_s is None:
             flight.begun_s = now_s
-        elif flight.isolated and now_s - flight.begun_s > ISOLATED_S:
-            over = self._crashes.end_isolation(
+        elif flight.isolated and now_s - flight.begun_s > ISOLATION_S:
+            ended = self._crashes.end_isolation(
                 context.content_key, request_id=context.call.request_id
             )
-            flight.isolated = not over
+            flight.isolated = not ended
 
     def end(self, context: RequestContext) -> None:
-        """Note that a request is at no server any more."""
-        if self._crashes.isolated.any_own:
+        """Record that a request is no longer at a server."""
+        if self._crashes.isolated.has_own_runs:
             self._crashes.isolated.end(
                 context.content_key, request_id=context.call.request_id
             )
 
     def clear(self, context: RequestContext, answer: Answer) -> None:
-        """Note that a run completed, so that the request crashes no servers.
+        """Record a completed run, which clears the request of earlier crashes.
 
-        An answer that ends with its connection may have been cut by a crash.
+        A response that is delimited only by the end of its connection proves
+        nothing: a crash may have truncated it.
         """
         if self._crashes.records and answer.delimited:
             self._crashes.clear(context.content_key)
@@ -86,21 +94,21 @@
         flight: Flight,
         error: AttemptError,
     ) -> None:
-        """Find out whether a server crashed, if a run was lost or silent there."""
+        """Check for a crash of the server if a run was lost or timed out."""
         if error.evidence is Evidence.NOT_SENT:
             return
         if error.lost:
-            run = self._lost_run(context, flight, error)
+            run = self._make_lost_run(context, flight, error)
             await self._crashes.note_lost(server, run)
         elif error.timed_out:
-            run = self._lost_run(context, flight, error)
-            self._crashes.note_silent(server, run)
+            run = self._make_lost_run(context, flight, error)
+            self._crashes.note_timeout(server, run)
 
-    def _lost_run(
+    def _make_lost_run(
         self, context: RequestContext, flight: Flight, error: AttemptError
     ) -> LostRun:
         now_s = self._clock.monotonic_s()
-        ran_long = flight.begun_s is not None and now_s - flight.begun_s > ISOLATED_S
+        ran_long = flight.begun_s is not None and now_s - flight.begun_s > ISOLATION_S
         starting = error.answered and not ran_long
         exposure = Exposure.STARTING if starting else Exposure.PRESENT
         return LostRun(
@@ -114,7 +122,10 @@
 def lost_run_fields(
     context: RequestContext, server: BackendServer, error: AttemptError
 ) -> dict[str, Any]:
-    """Return log fields of a lost run by which its retries are found, if it was."""
+    """Return the log fields that relate a lost run to its retries.
+
+    Empty if the run was not lost.
+    """
     if not error.lost:
         return {}
     return {
--- a/tests/test_crash_watch.py
+++ b/tests/test_crash_watch.py
@@ -1,4 +1,4 @@
-"""Which lost connections count as crashes of their servers."""
+"""Tests of which lost connections count as crashes of servers."""
 
 import asyncio
 from collections.abc import Callable
@@ -7,27 +7,27 @@
 
 from rosepath.clock import ManualClock
 from rosepath.crash_records import Exposure, Suspicion
-from rosepath.crash_watch import LOSS_KEPT_S, CrashWatch, LostRun, life_of
+from rosepath.crash_watch import LOST_RUN_TTL_S, CrashWatch, LostRun, life_of
 from rosepath.fleet import BackendServer
 from rosepath.http_client import Contact
 
-Then = Callable[[CrashWatch, BackendServer, ManualClock], None]
+AfterLoss = Callable[[CrashWatch, BackendServer, ManualClock], None]
 
 
 def suspicion_after(
     contact: Contact,
     *,
-    then: Then = lambda *_: None,
+    after_loss: AfterLoss = lambda *_: None,
     draining: bool = False,
 ) -> Suspicion:
-    """Return how a request stands whose run was lost as it had begun."""
+    """Return the suspicion of a request whose run was lost as it started."""
     clock = ManualClock()
     server = a_server("s1", draining=draining)
 
     async def run() -> Suspicion:
         watch = a_crash_watch(clock, contact=contact)
         await watch.note_lost(server, a_run(clock))
-        then(watch, server, clock)
+        after_loss(watch, server, clock)
         return watch.records.suspicion("bad")
 
     return asyncio.run(run())
@@ -49,35 +49,35 @@
 def crashed_much_later(
     watch: CrashWatch, server: BackendServer, clock: ManualClock
 ) -> None:
-    clock.advance(LOSS_KEPT_S + 0.1)
+    clock.advance(LOST_RUN_TTL_S + 0.1)
     crashed(watch, server, clock)
 
 
-def test_a_server_that_refuses_connections_after_a_lost_run_crashed() -> None:
+def test_server_that_refuses_connections_after_a_lost_run_crashed() -> None:
     assert suspicion_after(Contact.REFUSED) is Suspicion.SUSPECT
 
 
-# Guards against requests being suspected for connections that a middlebox resets.
-def test_a_reset_of_a_server_that_still_listens_is_no_crash() -> None:
+# Guards against suspecting requests whose connections a middlebox reset.
+def test_connection_reset_by_a_listening_server_is_no_crash() -> None:
     assert suspicion_after(Contact.ACCEPTED) is Suspicion.CLEAR
-    assert suspicion_after(Contact.ACCEPTED, then=crashed) is Suspicion.CLEAR
+    assert suspicion_after(Contact.ACCEPTED, after_loss=crashed) is Suspicion.CLEAR
 
 
-def test_a_server_that_went_dark_crashed_once_its_entry_is_gone() -> None:
+def test_unresponsive_server_crashed_once_its_entry_is_removed() -> None:
     assert suspicion_after(Contact.UNKNOWN) is Suspicion.CLEAR
-    assert suspicion_after(Contact.UNKNOWN, then=crashed) is Suspicion.SUSPECT
+    assert suspicion_after(Contact.UNKNOWN, after_loss=crashed) is Suspicion.SUSPECT
 
 
-def test_a_crash_long_after_a_lost_run_has_nothing_to_do_with_it() -> None:
-    later = suspicion_after(Contact.UNKNOWN, then=crashed_much_later)
+def test_crash_long_after_a_lost_run_is_not_related_to_it() -> None:
+    later = suspicion_after(Contact.UNKNOWN, after_loss=crashed_much_later)
     assert later is Suspicion.CLEAR
 
 
-def test_what_was_broken_off_for_silence_is_reported_once_the_entry_is_gone() -> None:
+def test_timed_out_run_is_reported_once_the_entry_is_removed() -> None:
     async def run() -> Suspicion:
         clock, server = ManualClock(), a_server("s1")
         watch = a_crash_watch(clock)
-        watch.note_silent(server, a_run(clock))
+        watch.note_timeout(server, a_run(clock))
         assert watch.records.suspicion("bad") is Suspicion.CLEAR
         crashed(watch, server, clock)
         return watch.records.suspicion("bad")
@@ -85,13 +85,13 @@
     assert asyncio.run(run()) is Suspicion.SUSPECT
 
 
-# Guards against requests being suspected at the end of a planned leave.
-def test_a_server_that_leaves_is_no_crash() -> None:
+# Guards against suspecting requests at the end of a planned departure.
+def test_departure_of_a_draining_server_is_no_crash() -> None:
     assert suspicion_after(Contact.REFUSED, draining=True) is Suspicion.CLEAR
 
 
-# Guards against a crowd of new connections to a server that just lost many runs.
-def test_many_lost_runs_of_a_server_are_one_probe() -> None:
+# Guards against a burst of connections to a server that just lost many runs.
+def test_many_lost_runs_of_a_server_share_one_probe() -> None:
     async def run() -> int:
         clock, server, probes = ManualClock(), a_server("s1"), 0
 
--- a/tests/test_crashing_requests.py
+++ b/tests/test_crashing_requests.py
@@ -1,4 +1,4 @@
-"""A request that crashes its servers is found out, and crashes few of them."""
+"""Tests that a request that crashes servers is quarantined early."""
 
 import asyncio
 import os
@@ -35,98 +35,100 @@
 from rosepath.lease_keeper import LeaseKeeper
 from rosepath.leases import LeasePolicy
 
-# VMs, drain time, and how long after a cut a VM is in touch again.
+# Number of VMs, drain time, and how long a VM takes to reconnect after a cut.
 Size = tuple[int, float, float]
-FEW = pytest.param((5, 2.0, 3.0), id="few")
-CROWD = pytest.param((26, 3.0, 4.0), id="crowd")
-sizes = pytest.mark.parametrize("size", [FEW, CROWD])
-# What may still be sent later, once a request has crashed three servers.
-SENDS_AFTER_THIRD = 3
-# By hand, SEEDS=50 plays so many random courses; 1 and 12 quarantined others once.
+SMALL_FLEET = pytest.param((5, 2.0, 3.0), id="small_fleet")
+LARGE_FLEET = pytest.param((26, 3.0, 4.0), id="large_fleet")
+sizes = pytest.mark.parametrize("size", [SMALL_FLEET, LARGE_FLEET])
+# How often a request may still reach servers once its third crash is known.
+MAX_SENDS_AFTER_THIRD = 3
+# SEEDS=50 in the environment runs 50 random scenarios. Seeds 1 and 12 are
+# regression cases in which unrelated requests were quarantined.
 SEEDS = range(int(os.environ["SEEDS"])) if "SEEDS" in os.environ else (0, 1, 2, 12)
 POLICY = LeasePolicy(duration_s=5.0, margin_s=1.0)
 
-Course = Callable[[CrashingWorld], Awaitable[None]]
+Scenario = Callable[[CrashingWorld], Awaitable[None]]
 
 
-def played(
+def run_scenario(
     monkeypatch: pytest.MonkeyPatch,
     size: Size,
-    course: Course,
+    scenario: Scenario,
     *,
     servers: int = 5,
     seed: int = 7,
 ) -> CrashingWorld:
-    """Play a course, and return the world as it then is."""
+    """Run a scenario and return the world in its final state."""
     vms, drain_s, contact_s = size
     world = CrashingWorld(drain_s=drain_s, contact_s=contact_s, rng=random.Random(seed))
 
-    async def course_of_all() -> None:
+    async def full_scenario() -> None:
         await world.start(vms, monkeypatch, servers=servers)
         await asyncio.sleep(5.0)
-        await course(world)
+        await scenario(world)
         await world.close()
 
-    play_fleet(course_of_all)
+    play_fleet(full_scenario)
     assert world.answered > 500
     return world
 
 
-# Guards against each VM, at each repeat, learning anew what a request does.
+# Guards against each VM identifying the request by further crashes, anew at
+# each retry.
 @sizes
-def test_a_request_that_crashes_servers_is_known_to_all_vms(
+def test_request_that_crashes_servers_is_known_to_all_vms(
     monkeypatch: pytest.MonkeyPatch, size: Size
 ) -> None:
-    async def course(world: CrashingWorld) -> None:
+    async def scenario(world: CrashingWorld) -> None:
         await world.repeat(times=120, each_s=0.5)
 
-    world = played(monkeypatch, size, course)
+    world = run_scenario(monkeypatch, size, scenario)
     assert world.crashes >= 2
-    assert world.sent_after_third() <= SENDS_AFTER_THIRD
+    assert world.sent_after_third() <= MAX_SENDS_AFTER_THIRD
     statuses = [status for _, status in world.statuses]
     assert len(statuses) == 120 and set(statuses) <= {502, 503}
 
 
-# Guards against repeats that come together each crashing servers of their own.
+# Guards against simultaneous retries that each crash other servers.
 @sizes
-def test_repeats_at_all_vms_at_once_crash_few_servers(
+def test_simultaneous_retries_at_all_vms_crash_few_servers(
     monkeypatch: pytest.MonkeyPatch, size: Size
 ) -> None:
-    async def course(world: CrashingWorld) -> None:
+    async def scenario(world: CrashingWorld) -> None:
         for wave in range(4):
             for vm in world.nodes:
                 world.ask_crashing(vm, f"{vm}-{wave}")
             await asyncio.sleep(10.0)
 
-    world = played(monkeypatch, size, course)
-    assert world.sent_after_third() <= SENDS_AFTER_THIRD
+    world = run_scenario(monkeypatch, size, scenario)
+    assert world.sent_after_third() <= MAX_SENDS_AFTER_THIRD
 
 
 def crashes_if_marked(asked: Asked) -> Timetable:
-    """Crash the engine soon after a marked stream began, and serve all others."""
+    """Crash the engine soon after a marked stream starts; serve all others."""
     if CRASHING_PATH in asked.line:
         return [(0.05, stream_head(asked)), (0.08, CRASHES)]
     return streams(asked, *(0.1 * number for number in range(1, 9)), until=8)
 
 
-def comes_back_empty_handed(site: Site) -> Callable[[Engine], None]:
-    """Let an engine's next life be known, and hold the model that all ask for."""
+def restarts_with_model(site: Site) -> Callable[[Engine], None]:
+    """Publish a restarted engine as a new instance with the same model."""
 
-    def put(engine: Engine) -> None:
+    def publish_entry(engine: Engine) -> None:
         entry = site.fleet.servers[engine.name].entry
         site.fleet.put(replace(entry, born_ms=entry.born_ms + 1))
 
-    return put
+    return publish_entry
 
 
-# Guards against streams that shared a crashed engine being refused or cut with the
-# request that crashed it, and against that one going on to crash all engines.
-def test_streams_beside_a_request_that_crashes_engines_are_all_served() -> None:
+# Guards against refusing or cutting streams that shared an engine with the
+# request that crashed it, and against that request crashing all engines.
+def test_streams_sharing_engines_with_a_crashing_request_are_all_served() -> None:
     async def play() -> None:
         engines = all_do(5, crashes_if_marked)
         site = a_site(*engines, repeats=200.0)
         for engine in engines:
-            engine.on_back = comes_back_empty_handed(site)
+            engine.on_back = restarts_with_model(site)
         others = [asks(f"q{number}") for number in range(150)]
         for number, other in enumerate(others):
             other.body = b"%d" % number
@@ -150,10 +152,10 @@
     run(play)
 
 
-# Guards against sums of troubles: words lost, holders that die, two such requests at
-# once, repeats in bursts.
+# Guards against combined failures: lost state messages, failing holders of the
+# placement lease, two crashing requests at once, retries in bursts.
 @pytest.mark.parametrize("seed", SEEDS)
-def test_random_courses_crash_few_servers_and_quarantine_nothing_else(
+def test_random_scenarios_crash_few_servers_and_quarantine_nothing_else(
     monkeypatch: pytest.MonkeyPatch, seed: int
 ) -> None:
     rng = random.Random(seed)
@@ -161,7 +163,7 @@
     size = (vms, 2.0, 3.0) if vms < 20 else (vms, 3.0, 4.0)
     paths = [CRASHING_PATH, f"{CRASHING_PATH}/2"][: rng.randint(1, 2)]
 
-    async def course(world: CrashingWorld) -> None:
+    async def scenario(world: CrashingWorld) -> None:
         world.lost_share = rng.choice([0.0, 0.1, 0.3])
         for number in range(40):
             for _ in range(rng.choice([1, 1, 1, 3])):
@@ -171,14 +173,17 @@
             if rng.random() < 0.05:
                 world.replace_holder()
 
-    world = played(monkeypatch, size, course, servers=rng.choice([5, 8, 14]), seed=seed)
+    world = run_scenario(
+        monkeypatch, size, scenario, servers=rng.choice([5, 8, 14]), seed=seed
+    )
     for path in paths:
-        assert world.sent_after_third(path) <= SENDS_AFTER_THIRD
+        assert world.sent_after_third(path) <= MAX_SENDS_AFTER_THIRD
     assert world.quarantined_unrelated == 0
 
 
-# Guards against all VMs learning anew, by three more crashes, after a power loss.
-def test_quarantined_requests_outlive_all_vms() -> None:
+# Guards against three more crashes per quarantined request after a power loss,
+# when all VMs restart without their records.
+def test_quarantine_persists_across_restart_of_all_vms() -> None:
     async def play() -> None:
         platform, clock = FakePlatform(), ManualClock()
 
--- a/tests/test_isolated_runs.py
+++ b/tests/test_isolated_runs.py
@@ -1,6 +1,6 @@
-"""One retry of a suspect at a time, whichever VMs they reach."""
+"""Tests that one retry of a suspect runs at a time across all entry VMs."""
 
-from rosepath.isolated_runs import ANNOUNCED_S, HEARD_S, IsolatedRuns
+from rosepath.isolated_runs import ANNOUNCEMENT_S, PEER_RUNS_TTL_S, IsolatedRuns
 
 NOW_S = 1000.0
 
@@ -18,7 +18,7 @@
     )
 
 
-def test_a_retry_waits_while_another_runs_isolated() -> None:
+def test_retry_waits_while_another_runs_isolated() -> None:
     runs = IsolatedRuns()
     assert may_start(runs)
     runs.start("bad", request_id="q1", server="s1")
@@ -29,7 +29,7 @@
     assert may_start(runs, request_id="q2")
 
 
-def test_a_retry_waits_while_another_vm_runs_one_isolated() -> None:
+def test_retry_waits_while_another_vm_runs_one_isolated() -> None:
     runs = IsolatedRuns()
     assert runs.hear("vm-1", {"bad": "s1"}, now_s=NOW_S)
     assert not runs.hear("vm-1", {"bad": "s1"}, now_s=NOW_S)
@@ -39,32 +39,35 @@
     assert may_start(runs)
 
 
-# Guards against a request waiting for ever for the isolated run of a VM that died.
-def test_the_run_of_a_vm_that_fell_silent_is_forgotten() -> None:
+# Guards against a request waiting forever for the isolated run of a failed VM.
+def test_run_of_a_vm_that_stopped_sending_state_expires() -> None:
     runs = IsolatedRuns()
     runs.hear("vm-1", {"bad": "s1"}, now_s=NOW_S)
-    assert may_start(runs, now_s=NOW_S + HEARD_S + 0.1)
+    assert may_start(runs, now_s=NOW_S + PEER_RUNS_TTL_S + 0.1)
 
 
-# Guards against repeats that come to all VMs at once being run by all of them.
-def test_of_vms_that_announce_a_run_at_once_the_first_by_name_has_it() -> None:
-    told: dict[str, IsolatedRuns] = {"vm-1": IsolatedRuns(), "vm-2": IsolatedRuns()}
-    for me, runs in told.items():
+# Guards against all VMs running retries that arrive at them at the same time.
+def test_first_vm_by_name_runs_what_several_announce_at_once() -> None:
+    runs_by_vm: dict[str, IsolatedRuns] = {
+        "vm-1": IsolatedRuns(),
+        "vm-2": IsolatedRuns(),
+    }
+    for me, runs in runs_by_vm.items():
         assert not may_start(runs, me=me, request_id=me, announces=True)
     for me, other in (("vm-1", "vm-2"), ("vm-2", "vm-1")):
-        words = told[other].told(merged=False, now_s=NOW_S)
-        told[me].hear(other, words, now_s=NOW_S)
-    later_s = NOW_S + ANNOUNCED_S + 0.01
-    begins = {
+        sent_runs = runs_by_vm[other].told(merged=False, now_s=NOW_S)
+        runs_by_vm[me].hear(other, sent_runs, now_s=NOW_S)
+    later_s = NOW_S + ANNOUNCEMENT_S + 0.01
+    starts = {
         me: may_start(runs, me=me, request_id=me, now_s=later_s, announces=True)
-        for me, runs in told.items()
+        for me, runs in runs_by_vm.items()
     }
-    assert begins == {"vm-1": True, "vm-2": False}
+    assert starts == {"vm-1": True, "vm-2": False}
 
 
-def test_an_announced_run_yields_to_one_that_was_sent_already() -> None:
+def test_announced_run_is_withdrawn_if_another_vm_already_runs_it() -> None:
     runs = IsolatedRuns()
     assert not may_start(runs, me="vm-1", announces=True)
     runs.hear("vm-2", {"bad": "s1"}, now_s=NOW_S)
-    later_s = NOW_S + ANNOUNCED_S + 0.01
+    later_s = NOW_S + ANNOUNCEMENT_S + 0.01
     assert not may_start(runs, me="vm-1", now_s=later_s, announces=True)
