--- a/src/rosepath/gossip.py
+++ b/src/rosepath/gossip.py
@@ -1,8 +1,9 @@
-"""Spread small versioned rows between entry VMs, only what the other lacks.
+"""
+Replicate small versioned rows between entry VMs, sending only missing rows.
 
-Rows are last-writer-wins by version. Each node talks to the members at
-distances 1, 2, 4, ... along a ring, so that a node keeps O(log n) links and
-news crosses the fleet in O(log n) hops.
+Rows are last-writer-wins by version. Each node exchanges frames with the
+members at distances 1, 2, 4, ... along a ring, so that a node keeps O(log n)
+links and a change reaches the whole fleet in O(log n) hops.
 """
 
 from collections import OrderedDict
@@ -15,7 +16,7 @@
 
 
 class RowKind(IntEnum):
-    """Name what a row is about."""
+    """Name the subject of a row; the values are sent to peers."""
 
     MEMBER = 1
     LOAD = 2
@@ -30,7 +31,7 @@
 
 
 class Row(NamedTuple):
-    """Hold a row as it travels."""
+    """Hold a row as it is sent between entry VMs."""
 
     key: RowKey
     version: int
@@ -46,24 +47,29 @@
 
 @dataclass(slots=True)
 class Link:
-    """Hold what a neighbour is known to have."""
+    """
+    Track what a neighbour has acknowledged.
+
+    `next_send_s` is the earliest time at which a throttled load row may be
+    sent to the neighbour again.
+    """
 
     acked: int = 0
     epoch: int = 0
     sent_at_s: float = -1e9
-    throttled: dict[RowKey, float] = field(default_factory=dict)
+    next_send_s: dict[RowKey, float] = field(default_factory=dict)
 
 
 @dataclass(frozen=True, slots=True)
 class Batch:
-    """Hold rows to send and the position that an answer acknowledges."""
+    """Hold rows to send and the sequence that a reply to them acknowledges."""
 
     rows: tuple[Row, ...]
     sequence: int
 
 
 class GossipState:
-    """Hold the rows and the order in which they changed here."""
+    """Own the rows, in order of their last change, and the links."""
 
     def __init__(self) -> None:
         self._rows: OrderedDict[RowKey, _Stored] = OrderedDict()
@@ -75,7 +81,7 @@
 
     @property
     def payload_bytes(self) -> int:
-        """Return the bytes of all payloads held."""
+        """Return the total size of the stored payloads."""
         return sum(len(stored.payload) for stored in self._rows.values())
 
     def get(self, key: RowKey) -> Row | None:
@@ -84,7 +90,7 @@
         return None if stored is None else Row(key, stored.version, stored.payload)
 
     def merge(self, row: Row, *, source: str = "") -> bool:
-        """Keep a row if it is newer than what is held; return whether it was."""
+        """Store a row if newer than the stored one; return whether it was."""
         held = self._rows.get(row.key)
         if held is not None and held.version >= row.version:
             return False
@@ -94,27 +100,28 @@
         return True
 
     def link(self, neighbour: str) -> Link:
-        """Return the link to a neighbour, made on first use."""
+        """Return the link to a neighbour, created on first use."""
         return self.links.setdefault(neighbour, Link())
 
     def batch_for(
         self, neighbour: str, *, now_s: float, load_interval_s: float = 0.0
     ) -> Batch:
-        """Return what a neighbour lacks, oldest first, a frame at most.
+        """
+        Return the rows that a neighbour lacks, oldest first, for one frame.
 
-        A load row goes over a link at most once in `load_interval_s`; what is
-        held back is offered again later, by then perhaps newer.
+        A load row is sent over a link at most once in `load_interval_s`; a
+        throttled row is sent later, in its version at that time.
         """
         link = self.link(neighbour)
         rows: list[Row] = []
-        due = [key for key, at_s in link.throttled.items() if at_s <= now_s]
+        due = [key for key, at_s in link.next_send_s.items() if at_s <= now_s]
         fresh = self._newer_than(link.acked)
         for key in dict.fromkeys([*fresh, *due]):
             stored = self._rows.get(key)
             if stored is None or stored.source == neighbour:
-                link.throttled.pop(key, None)
+                link.next_send_s.pop(key, None)
                 continue
-            if self._held_back(link, key, now_s, load_interval_s):
+            if self._is_throttled(link, key, now_s, load_interval_s):
                 continue
             rows.append(Row(key, stored.version, stored.payload))
             if len(rows) >= MAX_ROWS_PER_FRAME:
@@ -130,39 +137,39 @@
         keys.reverse()
         return keys
 
-    def _held_back(
+    def _is_throttled(
         self, link: Link, key: RowKey, now_s: float, interval_s: float
     ) -> bool:
         if key.kind is not RowKind.LOAD or interval_s <= 0:
             return False
-        if key in link.throttled and link.throttled[key] > now_s:
+        if key in link.next_send_s and link.next_send_s[key] > now_s:
             return True
-        if key not in link.throttled:
-            link.throttled[key] = now_s + interval_s
+        if key not in link.next_send_s:
+            link.next_send_s[key] = now_s + interval_s
             return False
-        link.throttled[key] = now_s + interval_s
+        link.next_send_s[key] = now_s + interval_s
         return False
 
     def acknowledge(self, neighbour: str, sequence: int) -> None:
-        """Note that a neighbour has everything up to a position."""
+        """Record that a neighbour has every row up to a sequence."""
         link = self.link(neighbour)
         link.acked = max(link.acked, sequence)
 
     def note_epoch(self, neighbour: str, epoch: int) -> None:
-        """Start over with a neighbour that restarted and forgot everything."""
+        """Reset the link of a neighbour that restarted and lost its rows."""
         link = self.link(neighbour)
         if link.epoch != epoch:
             link.epoch = epoch
             link.acked = 0
-            link.throttled.clear()
+            link.next_send_s.clear()
 
 
 def finger_neighbours(me: str, ring: Sequence[str]) -> list[str]:
     """Return the members at distances 1, 2, 4, ... along a ring."""
-    at = ring.index(me)
-    chosen: list[str] = []
+    own_index = ring.index(me)
+    neighbours: list[str] = []
     distance = 1
     while distance < len(ring):
-        chosen.append(ring[(at + distance) % len(ring)])
+        neighbours.append(ring[(own_index + distance) % len(ring)])
         distance *= 2
-    return chosen
+    return neighbours
--- a/src/rosepath/membership.py
+++ b/src/rosepath/membership.py
@@ -1,4 +1,4 @@
-"""Who is alive: heartbeats between neighbours, the VM list, direct evidence."""
+"""Membership: member rows, inactivity, and VMs removed by the platform."""
 
 from collections.abc import Iterable, Mapping
 
@@ -14,15 +14,16 @@
 
 
 def first_incarnation(wall_s: float) -> int:
-    """Return an incarnation above every earlier process of the same name."""
+    """Return an incarnation above those of earlier processes of this VM."""
     return max(1, int(wall_s) - _FIRST_SECOND)
 
 
 def member_version(incarnation: int, state: MemberState, revision: int) -> int:
-    """Order member rows: a newer incarnation wins, then the worse state.
+    """
+    Return a version that orders member rows by incarnation, then by state.
 
-    So news of a death beats every heartbeat of that incarnation, and the
-    member itself, if it lives, beats the news by a new incarnation.
+    A DEAD row overrides every row of that incarnation with a better state; a
+    member that is alive overrides it with a new incarnation.
     """
     rank = incarnation * _STATES + state
     return (rank << _REVISION_BITS) | (revision & ((1 << _REVISION_BITS) - 1))
@@ -41,7 +42,7 @@
 
 
 def decode_member(name: str, payload: bytes) -> EntryVm | None:
-    """Decode a member row, or None if it can't be one."""
+    """Decode a member row; return None if it is invalid."""
     message = MemberPayload()
     try:
         message.ParseFromString(payload)
@@ -61,43 +62,47 @@
 
 
 def alive(members: Mapping[str, EntryVm]) -> list[str]:
-    """Return the members that take work."""
+    """Return the members that accept work."""
     return [n for n, row in members.items() if row.state is MemberState.ALIVE]
 
 
-def present(members: Mapping[str, EntryVm]) -> list[str]:
-    """Return the members that still answer, leaving ones included."""
+def reachable(members: Mapping[str, EntryVm]) -> list[str]:
+    """Return the members not declared dead, leaving ones included."""
     return [n for n, row in members.items() if row.state is not MemberState.DEAD]
 
 
-def silent_members(
-    watched: Iterable[str],
-    heard_at_s: Mapping[str, float],
+def inactive_members(
+    monitored: Iterable[str],
+    last_received_s: Mapping[str, float],
     *,
     now_s: float,
     suspect_after_s: float,
 ) -> list[str]:
-    """Return the watched members not heard from for too long.
+    """
+    Return the monitored members without a frame for `suspect_after_s`.
 
-    A lost packet costs a retransmission, not a heartbeat, and a heartbeat
-    in either direction counts; so a fifth of packets lost is not a death.
+    A lost packet is retransmitted and does not lose the heartbeat, and a
+    heartbeat in either direction counts; so a loss of 20% of the packets does
+    not make a member inactive.
     """
     return [
         name
-        for name in watched
-        if now_s - heard_at_s.get(name, now_s) > suspect_after_s
+        for name in monitored
+        if now_s - last_received_s.get(name, now_s) > suspect_after_s
     ]
 
 
-def gone_entry_vms(
+def removed_entry_vms(
     holders: Iterable[str],
     members: Mapping[str, EntryVm],
     vms: Mapping[str, VmState] | None,
     ever_listed: frozenset[str],
 ) -> frozenset[str]:
-    """Return those that the platform no longer lists though it once did.
+    """
+    Return the holders that the platform once listed and no longer lists.
 
-    The list lags: a newborn VM may be missing from it, hence `ever_listed`.
+    The list lags and may lack a new VM, so only VMs in `ever_listed` count.
+    A VM that is a member and not dead is not removed.
     """
     if vms is None:
         return frozenset()
--- a/src/rosepath/node.py
+++ b/src/rosepath/node.py
@@ -1,4 +1,4 @@
-"""One entry VM: the tables, the systems over them, and the loops that tick."""
+"""One entry VM: its tables, the components that use them and their loops."""
 
 import asyncio
 import random
@@ -57,7 +57,12 @@
 
 
 class Node:
-    """Hold one entry VM's state and run its loops."""
+    """
+    Own the components and state of one entry VM and run its loops.
+
+    The daemon creates one per process; `stop` drains the requests in flight
+    before it closes anything.
+    """
 
     def __init__(self, settings: Settings) -> None:
         self.settings = settings
@@ -187,13 +192,13 @@
         )
 
     def _export_state(self) -> None:
-        """Export the size of what is held and the cost of control."""
+        """Export table sizes, gossip traffic and store calls as metrics."""
         telemetry = self.telemetry
         telemetry.observe("control", lambda: asdict(self.peers.counters))
         telemetry.observe("store_calls", lambda: dict(self.platform.calls))
-        telemetry.observe("held", self._held)
+        telemetry.observe("held", self._table_sizes)
 
-    def _held(self) -> dict[str, float]:
+    def _table_sizes(self) -> dict[str, float]:
         return {
             "gossip_rows": len(self.peers.gossip),
             "gossip_bytes": self.peers.gossip.payload_bytes,
@@ -207,13 +212,13 @@
         }
 
     def configuration(self) -> Configuration:
-        """Return the configuration in force."""
+        """Return the configuration in effect."""
         return self.state.configuration
 
     # Start and stop
 
     async def start(self) -> None:
-        """Listen and start every loop."""
+        """Open the listeners and start every loop."""
         settings = self.settings
         ports = CallerPorts(
             settings=settings,
@@ -264,7 +269,12 @@
         loops.every(DEFERRED_SCAN_S, self._scan_deferred)
 
     async def stop(self) -> None:
-        """Stop as planned: unready, drained, handed over, closed."""
+        """
+        Stop gracefully.
+
+        Report unready, announce the departure, drain the requests in flight,
+        release the lease and the share units, then close everything.
+        """
         self.stopping = True
         _log.info("stopping", in_flight=len(self.in_flight))
         with suppress(Exception):
@@ -276,14 +286,15 @@
         with suppress(StoreError):
             await self.leases.give_up(self.lease_name)
         with suppress(StoreError):
-            await self.shares.give_up_all()
+            await self.shares.release_all()
         await self.http.close_all_connections()
         await self.close()
         _log.info("stopped", cut=len(self.in_flight))
 
     async def _wait_for_balancer(self) -> None:
-        # The balancer goes on sending for as long as it takes to ask
-        # /readyz again; closing the listener now would refuse those callers.
+        # The load balancer continues to send callers until it polls /readyz
+        # again; closing the listener before that would refuse their
+        # connections.
         await asyncio.sleep(self.settings.stop.balancer_wait_s)
 
     async def _drain(self) -> None:
@@ -292,7 +303,7 @@
             await asyncio.sleep(0.05)
 
     async def close(self) -> None:
-        """Cancel the loops and close what is open."""
+        """Cancel the loops and close servers, channels and connections."""
         await self.loops.stop()
         for server in (self.peer_server, self.operator_server):
             server.close()
@@ -303,7 +314,7 @@
     # Readiness
 
     def unready_reason(self) -> str:
-        """Return why the balancer should send no callers, or nothing."""
+        """Return why the VM is not ready for callers, or an empty string."""
         if self.stopping:
             return "stopping"
         if self.state.head.version == 0:
@@ -313,21 +324,21 @@
     # Configuration
 
     def configuration_changed(self) -> None:
-        """Put a new configuration in force in every table."""
+        """Apply a new configuration to the replicas, limits and peers."""
         now_s = self.clock.monotonic_s()
         sync_replicas(self.tables, self.state.configuration, now_s=now_s)
         self.limits.apply()
-        self.peers.announce_me()
+        self.peers.publish_local_member()
         _log.info("configuration_in_force", version=self.state.head.version)
-        asyncio.ensure_future(self._tell_watchers())
+        asyncio.ensure_future(self._notify_watchers())
 
-    async def _tell_watchers(self) -> None:
+    async def _notify_watchers(self) -> None:
         async with self.operator_ports.changed:
             self.operator_ports.changed.notify_all()
 
     def _is_relay(self) -> bool:
-        home = self.settings.data_centre
-        return self.settings.entry_vm in relays(self.tables.entry_vms, home)
+        data_centre = self.settings.data_centre
+        return self.settings.entry_vm in relays(self.tables.entry_vms, data_centre)
 
     async def _read_vms(self) -> None:
         if self._is_relay():
@@ -336,14 +347,16 @@
     # Leases and placement
 
     async def _step_lease(self) -> None:
-        wanted = not self.stopping and self._wants_lease()
-        await self.leases.step(self.lease_name, wanted=wanted)
+        wants_lease = not self.stopping and self._wants_lease()
+        await self.leases.step(self.lease_name, wanted=wants_lease)
 
     def _wants_lease(self) -> bool:
         if self.state.head.version == 0:
             return False
-        home = self.settings.data_centre
-        return self.settings.entry_vm in lease_candidates(self.tables.entry_vms, home)
+        data_centre = self.settings.data_centre
+        return self.settings.entry_vm in lease_candidates(
+            self.tables.entry_vms, data_centre
+        )
 
     async def _place(self) -> None:
         if not self.stopping:
@@ -361,12 +374,12 @@
         ]
 
     def _predict_moves(self, accepted: Accepted) -> list[str]:
-        """Tell which moves a change would cause, as seen from here."""
+        """Return the moves that a change would cause, by this VM's tables."""
         if accepted.configuration is None:
             return []
         view = self.placer.predicted_view(accepted.configuration)
         policy = self.placer.policy()
-        # As if the anchors that the plan wants were stored already.
+        # The prediction assumes that the planned anchors are already stored.
         view = replace(view, anchors=plan(view, policy).anchors)
         return [
             f"{move.action.value} {move.target} on {move.backend_server} "
@@ -377,7 +390,11 @@
     # Deferred requests
 
     async def _scan_deferred(self) -> None:
-        """Scan as a relay only: the store's load must not grow with the fleet."""
+        """
+        Scan for deferred requests, on relays only.
+
+        With a scan on every VM, the store's load would grow with the fleet.
+        """
         if not self.stopping and self._is_relay():
             await self.deferred.scan()
 
--- a/src/rosepath/peer_service.py
+++ b/src/rosepath/peer_service.py
@@ -1,4 +1,4 @@
-"""Serve the calls of other entry VMs."""
+"""The gRPC service for calls from other entry VMs."""
 
 from grpclib import GRPCError
 from grpclib.const import Status
@@ -20,7 +20,7 @@
 
 
 class PeerService(PeersBase):
-    """Serve other entry VMs."""
+    """Serve gossip, configuration fetches and slot lending to peers."""
 
     def __init__(
         self, network: PeerNetwork, feed: ConfigurationFeed, lending: SlotLending
@@ -35,11 +35,11 @@
         frame = await stream.recv_message()
         if frame is None:
             return
-        if not self._network.accepts(frame):
+        if not self._network.accepts_frame(frame):
             raise GRPCError(
                 Status.FAILED_PRECONDITION, "another deployment, protocol or sender"
             )
-        await stream.send_message(self._network.answer_exchange(frame))
+        await stream.send_message(self._network.handle_exchange(frame))
 
     async def FetchConfiguration(  # noqa: N802
         self, stream: "Stream[FetchConfigurationRequest, ConfigurationBundle]"
@@ -53,7 +53,7 @@
     ) -> None:
         request = await stream.recv_message()
         if request is not None:
-            granted = self._lending.answer_borrow(request)
+            granted = self._lending.handle_borrow(request)
             await stream.send_message(BorrowReply(granted=granted))
 
     async def Return(  # noqa: N802
@@ -61,5 +61,5 @@
     ) -> None:
         request = await stream.recv_message()
         if request is not None:
-            self._lending.answer_return(request)
+            self._lending.handle_return(request)
             await stream.send_message(ReturnReply())
--- a/src/rosepath/peers.py
+++ b/src/rosepath/peers.py
@@ -1,4 +1,4 @@
-"""Gossip with other entry VMs: who lives, and the rows that they share."""
+"""Gossip with other entry VMs: failure detection and shared rows."""
 
 import asyncio
 import random
@@ -15,9 +15,9 @@
     decode_member,
     encode_member,
     first_incarnation,
+    inactive_members,
     member_version,
-    present,
-    silent_members,
+    reachable,
 )
 from rosepath.peer_channels import CALL_FAILURES, CALL_TIMEOUT_S, PeerChannels
 from rosepath.proto.rosepath_pb2 import GossipFrame, GossipRow
@@ -26,16 +26,16 @@
 
 PROTOCOL = 1
 REPROBE_INTERVAL_S = 2.0
-HEARTBEAT_FINGERS = 2
-FAR_FACTOR = 6.0
-LOCAL_NEWS_S = 1.0
+MONITORED_NEIGHBOURS = 2
+UNMONITORED_INTERVAL_FACTOR = 6.0
+LOCAL_LOAD_INTERVAL_S = 1.0
 
 _log = get_logger()
 
 
 @dataclass(slots=True)
 class PeerCounters:
-    """Count what control costs."""
+    """Count the gossip traffic."""
 
     frames: int = 0
     rows_sent: int = 0
@@ -47,7 +47,7 @@
 
 @dataclass(slots=True, kw_only=True)
 class PeerPorts:
-    """Hold what the peer network works on."""
+    """Hold the dependencies of the peer network."""
 
     settings: Settings
     tables: Tables
@@ -59,36 +59,41 @@
 
 
 class PeerNetwork:
-    """Hold the gossip state, the channels and what was heard from whom."""
+    """
+    Own the gossip state and the time of the last frame from each peer.
+
+    Run the exchanges with neighbours, declare peers dead that no longer send
+    frames, and publish this node's own member row.
+    """
 
     def __init__(self, ports: PeerPorts, *, address: str) -> None:
         self.gossip = GossipState()
         self.counters = PeerCounters()
         self.epoch = random.getrandbits(63)
-        self.heard_at_s: dict[str, float] = {}
+        self.last_received_s: dict[str, float] = {}
         self._ports = ports
-        self._received: dict[str, int] = {}
-        self._busy: set[str] = set()
-        self._news = asyncio.Event()
+        self._received_sequences: dict[str, int] = {}
+        self._exchanging: set[str] = set()
+        self._rows_changed = asyncio.Event()
         self.members_changed = asyncio.Event()
         self._reprobed_at_s = -1e9
         settings = ports.settings
-        self.me = EntryVm(
+        self.local_member = EntryVm(
             name=settings.entry_vm,
             data_centre=settings.data_centre,
             address=address,
             incarnation=first_incarnation(ports.clock.wall_s()),
             state=MemberState.ALIVE,
         )
-        self.announce_me()
+        self.publish_local_member()
 
     # Rows
 
-    def announce_me(self) -> None:
-        """Publish this node's own row."""
-        self.me.configuration_version = self._ports.configuration.head.version
-        self._ports.tables.entry_vms[self.me.name] = self.me
-        self._publish_member(self.me)
+    def publish_local_member(self) -> None:
+        """Publish this node's own member row."""
+        self.local_member.configuration_version = self._ports.configuration.head.version
+        self._ports.tables.entry_vms[self.local_member.name] = self.local_member
+        self._publish_member(self.local_member)
 
     def _publish_member(self, member: EntryVm) -> None:
         version = member_version(
@@ -98,12 +103,12 @@
         self.publish(Row(key, version, encode_member(member)))
 
     def publish(self, row: Row) -> None:
-        """Take a row of this node's into the gossip."""
+        """Merge a row that this node made, to be sent to the neighbours."""
         if self.gossip.merge(row) and row.key.kind is not RowKind.LOAD:
-            self._news.set()
+            self._rows_changed.set()
 
     def merge(self, row: Row, *, source: str) -> None:
-        """Take a neighbour's row and act on it if it is news."""
+        """Merge a row from a neighbour and apply it if it is newer."""
         if not self.gossip.merge(row, source=source):
             return
         self.counters.rows_received += 1
@@ -112,13 +117,13 @@
         else:
             self._ports.on_row(row)
         if row.key.kind is not RowKind.LOAD:
-            self._news.set()
+            self._rows_changed.set()
 
     def _merge_member(self, row: Row) -> None:
         member = decode_member(row.key.name, row.payload)
         if member is None:
             return
-        if member.name == self.me.name:
+        if member.name == self.local_member.name:
             self._refute(member)
             return
         known = self._ports.tables.entry_vms.get(member.name)
@@ -126,26 +131,31 @@
             self.members_changed.set()
         self._ports.tables.entry_vms[member.name] = member
         if member.state is MemberState.DEAD:
-            self.heard_at_s.pop(member.name, None)
+            self.last_received_s.pop(member.name, None)
         else:
-            self.heard_at_s.setdefault(member.name, self._ports.clock.monotonic_s())
+            self.last_received_s.setdefault(
+                member.name, self._ports.clock.monotonic_s()
+            )
 
-    def _refute(self, rumour: EntryVm) -> None:
-        """Answer news of the own death with a newer incarnation."""
-        self.me.incarnation = max(self.me.incarnation, rumour.incarnation) + 1
-        self.announce_me()
+    def _refute(self, received: EntryVm) -> None:
+        """Override a received row about this node with a newer incarnation."""
+        self.local_member.incarnation = (
+            max(self.local_member.incarnation, received.incarnation) + 1
+        )
+        self.publish_local_member()
 
-    # Calls made
+    # Outgoing calls
 
     def neighbours(self) -> list[str]:
-        """Return the members that this node calls, the nearest first.
+        """
+        Return the members that this node calls, nearest on the ring first.
 
         The ring is ordered by data centre, so that most links are local.
         """
         members = self._ports.tables.entry_vms
-        names = {*present(members), self.me.name}
+        names = {*reachable(members), self.local_member.name}
         ring = sorted(names, key=lambda name: (members[name].data_centre, name))
-        return finger_neighbours(self.me.name, ring)
+        return finger_neighbours(self.local_member.name, ring)
 
     async def run(self) -> None:
         """Exchange frames with neighbours until cancelled."""
@@ -153,48 +163,56 @@
         while True:
             with suppress(TimeoutError):
                 async with asyncio.timeout(interval_s * random.uniform(0.8, 1.2)):
-                    await self._news.wait()
-            urgent = self._news.is_set()
-            self._news.clear()
+                    await self._rows_changed.wait()
+            urgent = self._rows_changed.is_set()
+            self._rows_changed.clear()
             self._tick(urgent=urgent)
-            # A burst of news travels in one frame instead of many.
+            # Batch changes that arrive together into one frame.
             await asyncio.sleep(0.02)
 
     def _tick(self, *, urgent: bool) -> None:
         now_s = self._ports.clock.monotonic_s()
         neighbours = self.neighbours()
-        for place, name in enumerate(neighbours):
-            if name not in self._busy and self._due(name, place, urgent, now_s):
-                self._busy.add(name)
+        for position, name in enumerate(neighbours):
+            if name not in self._exchanging and self._due(
+                name, position, urgent, now_s
+            ):
+                self._exchanging.add(name)
                 asyncio.ensure_future(self._exchange_with(name))
-        self._suspect(neighbours, now_s)
+        self._detect_failures(neighbours, now_s)
         if now_s - self._reprobed_at_s > REPROBE_INTERVAL_S:
             self._reprobed_at_s = now_s
             self._reprobe()
 
-    def _due(self, name: str, place: int, urgent: bool, now_s: float) -> bool:
+    def _due(self, name: str, position: int, urgent: bool, now_s: float) -> bool:
         if urgent:
             return True
         link = self.gossip.link(name)
         settings = self._ports.settings.peers
-        near = place < HEARTBEAT_FINGERS
-        interval_s = settings.heartbeat_interval_s * (1.0 if near else FAR_FACTOR)
+        monitored = position < MONITORED_NEIGHBOURS
+        interval_s = settings.heartbeat_interval_s * (
+            1.0 if monitored else UNMONITORED_INTERVAL_FACTOR
+        )
         if link.acked < self.gossip.sequence:
-            # Only load rows are waiting; whatever is urgent went at once.
-            far = self._is_far(name)
-            news_s = settings.remote_load_interval_s if far else LOCAL_NEWS_S
-            interval_s = min(interval_s, news_s)
+            # Only load rows are pending; every other change is sent at once.
+            remote = self._is_remote(name)
+            load_interval_s = (
+                settings.remote_load_interval_s if remote else LOCAL_LOAD_INTERVAL_S
+            )
+            interval_s = min(interval_s, load_interval_s)
         return now_s - link.sent_at_s >= interval_s
 
-    def _is_far(self, name: str) -> bool:
+    def _is_remote(self, name: str) -> bool:
         member = self._ports.tables.entry_vms.get(name)
-        return member is not None and member.data_centre != self.me.data_centre
+        return (
+            member is not None and member.data_centre != self.local_member.data_centre
+        )
 
-    def _suspect(self, neighbours: list[str], now_s: float) -> None:
-        watched = neighbours[:HEARTBEAT_FINGERS]
-        for name in silent_members(
-            watched,
-            self.heard_at_s,
+    def _detect_failures(self, neighbours: list[str], now_s: float) -> None:
+        monitored = neighbours[:MONITORED_NEIGHBOURS]
+        for name in inactive_members(
+            monitored,
+            self.last_received_s,
             now_s=now_s,
             suspect_after_s=self._ports.settings.peers.suspect_after_s,
         ):
@@ -207,11 +225,11 @@
         _log.warning("entry_vm_dead", peer=name, reason=reason)
         member.state = MemberState.DEAD
         self.members_changed.set()
-        self.heard_at_s.pop(name, None)
+        self.last_received_s.pop(name, None)
         self._publish_member(member)
 
     def _reprobe(self) -> None:
-        """Try a seed or a member thought dead, so that partitions heal."""
+        """Contact a dead member or unknown seed, so that partitions heal."""
         tables = self._ports.tables
         dead = [
             row.address
@@ -231,7 +249,7 @@
             if member is not None:
                 await self._exchange_at(member.address, name)
         finally:
-            self._busy.discard(name)
+            self._exchanging.discard(name)
 
     async def _exchange_at(self, address: str, name: str) -> None:
         now_s = self._ports.clock.monotonic_s()
@@ -249,11 +267,11 @@
             return
         self.counters.bytes_sent += frame.ByteSize()
         self.counters.bytes_received += reply.ByteSize()
-        if not self.accepts(reply):
+        if not self.accepts_frame(reply):
             return
         if name and reply.sender != name:
             return
-        self._take_frame(reply)
+        self._apply_frame(reply)
         if name:
             self.gossip.acknowledge(name, sequence)
 
@@ -262,67 +280,74 @@
         frame = GossipFrame(
             protocol=PROTOCOL,
             deployment=settings.deployment,
-            sender=self.me.name,
+            sender=self.local_member.name,
             sender_epoch=self.epoch,
             configuration_version=self._ports.configuration.head.version,
         )
         sequence = self.gossip.sequence
         if name:
-            far = self._is_far(name)
+            remote = self._is_remote(name)
             batch = self.gossip.batch_for(
                 name,
                 now_s=now_s,
-                load_interval_s=settings.peers.remote_load_interval_s if far else 0.0,
+                load_interval_s=settings.peers.remote_load_interval_s
+                if remote
+                else 0.0,
             )
             frame.rows.extend(_encode_row(row) for row in batch.rows)
             sequence = batch.sequence
             self.counters.rows_sent += len(batch.rows)
         else:
-            own = self.gossip.get(RowKey(RowKind.MEMBER, self.me.name))
+            own = self.gossip.get(RowKey(RowKind.MEMBER, self.local_member.name))
             if own is not None:
                 frame.rows.append(_encode_row(own))
         frame.sequence = sequence
-        frame.acked = self._received.get(name, 0)
+        frame.acked = self._received_sequences.get(name, 0)
         self.counters.frames += 1
         return frame, sequence
 
-    def accepts(self, frame: GossipFrame) -> bool:
+    def accepts_frame(self, frame: GossipFrame) -> bool:
+        """Return whether a frame's protocol, deployment and sender match."""
         settings = self._ports.settings
-        wrong = ""
+        mismatch = ""
         if frame.protocol != PROTOCOL:
-            wrong = f"protocol {frame.protocol}"
+            mismatch = f"protocol {frame.protocol}"
         elif frame.deployment != settings.deployment:
-            wrong = f"deployment {frame.deployment!r}"
-        elif not frame.sender or frame.sender == self.me.name:
-            wrong = f"sender {frame.sender!r}"
-        if wrong:
+            mismatch = f"deployment {frame.deployment!r}"
+        elif not frame.sender or frame.sender == self.local_member.name:
+            mismatch = f"sender {frame.sender!r}"
+        if mismatch:
             self.counters.refused += 1
-            _log.warning("peer_refused", peer=frame.sender, reason=wrong)
-        return not wrong
+            _log.warning("peer_refused", peer=frame.sender, reason=mismatch)
+        return not mismatch
 
-    def _take_frame(self, frame: GossipFrame) -> None:
-        """Merge a frame and learn what its sender has."""
+    def _apply_frame(self, frame: GossipFrame) -> None:
+        """
+        Merge a frame's rows and record its sender's sequence.
+
+        Fetch the configuration from the sender if it has a newer version.
+        """
         self.gossip.note_epoch(frame.sender, frame.sender_epoch)
-        self.heard_at_s[frame.sender] = self._ports.clock.monotonic_s()
+        self.last_received_s[frame.sender] = self._ports.clock.monotonic_s()
         for message in frame.rows:
             row = _decode_row(message)
             if row is not None:
                 self.merge(row, source=frame.sender)
-        self._received[frame.sender] = frame.sequence
+        self._received_sequences[frame.sender] = frame.sequence
         if frame.configuration_version > self._ports.configuration.head.version:
             asyncio.ensure_future(self._ports.fetch(frame.sender))
 
     async def leave(self) -> None:
-        """Tell the neighbours that this node leaves."""
-        self.me.state = MemberState.LEAVING
-        self.announce_me()
+        """Announce to the neighbours that this node is leaving."""
+        self.local_member.state = MemberState.LEAVING
+        self.publish_local_member()
         await asyncio.gather(*(self._exchange_with(n) for n in self.neighbours()))
 
-    # Calls answered
+    # Incoming calls
 
-    def answer_exchange(self, frame: GossipFrame) -> GossipFrame:
-        """Merge a neighbour's frame and return what it lacks."""
-        self._take_frame(frame)
+    def handle_exchange(self, frame: GossipFrame) -> GossipFrame:
+        """Merge a neighbour's frame and return the rows that it lacks."""
+        self._apply_frame(frame)
         self.gossip.acknowledge(frame.sender, frame.acked)
         reply, _ = self._frame_for(frame.sender, self._ports.clock.monotonic_s())
         self.counters.bytes_received += frame.ByteSize()
@@ -340,7 +365,7 @@
 
 
 def _decode_row(message: GossipRow) -> Row | None:
-    """Decode a row; None for a kind that this version does not know."""
+    """Decode a row; return None for a kind unknown to this version."""
     try:
         kind = RowKind(message.kind)
     except ValueError:
--- a/tests/test_gossip.py
+++ b/tests/test_gossip.py
@@ -1,4 +1,4 @@
-"""Rows reach everyone, the newest wins, and only what is missing is sent."""
+"""Rows reach every node, the newest wins, and only missing rows are sent."""
 
 import random
 
@@ -20,7 +20,7 @@
 
 
 def exchange(states: dict[str, GossipState], a: str, b: str) -> int:
-    """Send what b lacks from a to b; return how many rows went."""
+    """Send the rows that b lacks from a to b; return how many were sent."""
     batch = states[a].batch_for(b, now_s=0.0)
     for item in batch.rows:
         states[b].merge(item, source=a)
@@ -32,7 +32,7 @@
 @given(
     st.integers(2, 24), st.integers(0, 2**31), st.lists(st.integers(1, 50), max_size=20)
 )
-def test_news_reaches_every_node_in_few_rounds(
+def test_an_update_reaches_every_node_within_six_rounds(
     count: int, seed: int, versions: list[int]
 ) -> None:
     rng = random.Random(seed)
@@ -48,7 +48,7 @@
     assert held == {row("x", max(versions)) if versions else None}
 
 
-def test_nothing_is_sent_twice_or_back() -> None:
+def test_a_row_is_not_sent_twice_or_back_to_its_source() -> None:
     states = {"a": GossipState(), "b": GossipState()}
     states["a"].merge(row("x", 1))
     assert exchange(states, "a", "b") == 1
@@ -66,7 +66,7 @@
     assert exchange(states, "a", "b") == 1
 
 
-def test_load_rows_cross_a_far_link_seldom_but_are_not_lost() -> None:
+def test_load_rows_to_a_remote_neighbour_are_throttled_but_not_lost() -> None:
     state = GossipState()
     sent = []
     for tick in range(10):
@@ -80,7 +80,9 @@
 
 
 @given(st.sets(st.text("abc", min_size=1, max_size=3), min_size=2))
-def test_links_grow_with_the_logarithm_and_everyone_is_watched(names: set) -> None:
+def test_neighbour_count_is_logarithmic_and_every_member_is_monitored(
+    names: set,
+) -> None:
     ring = sorted(names)
     watched = set()
     for name in ring:
@@ -90,7 +92,7 @@
     assert watched == names
 
 
-def test_death_beats_heartbeats_and_a_new_incarnation_beats_death() -> None:
+def test_dead_overrides_heartbeats_and_a_new_incarnation_overrides_dead() -> None:
     alive = member_version(5, MemberState.ALIVE, 999)
     dead = member_version(5, MemberState.DEAD, 0)
     again = member_version(6, MemberState.ALIVE, 0)
@@ -99,5 +101,5 @@
 
 
 @given(st.binary(max_size=100))
-def test_the_member_decoder_takes_any_bytes(data: bytes) -> None:
+def test_the_member_decoder_accepts_any_bytes(data: bytes) -> None:
     decode_member("x", data)
