--- a/src/rosepath/daemon.py
+++ b/src/rosepath/daemon.py
@@ -50,7 +50,7 @@
     Serve until SIGTERM or SIGINT; return the exit code.
 
     A second signal stops the daemon without draining requests. SIGHUP reloads
-    the certificates.
+    the certificates of the caller and peer listeners.
     """
     from rosepath.node import Node
     from rosepath.tls import load_certificate
--- a/src/rosepath/gossip.py
+++ b/src/rosepath/gossip.py
@@ -115,8 +115,8 @@
         link = self.link(neighbour)
         rows: list[Row] = []
         due = [key for key, at_s in link.next_send_s.items() if at_s <= now_s]
-        fresh = self._newer_than(link.acked)
-        for key in dict.fromkeys([*fresh, *due]):
+        unacknowledged = self._newer_than(link.acked)
+        for key in dict.fromkeys([*unacknowledged, *due]):
             stored = self._rows.get(key)
             if stored is None or stored.source == neighbour:
                 link.next_send_s.pop(key, None)
--- a/src/rosepath/membership.py
+++ b/src/rosepath/membership.py
@@ -8,14 +8,14 @@
 from rosepath.proto.rosepath_pb2 import MemberPayload
 from rosepath.tables import EntryVm, MemberState
 
-_STATES = len(MemberState)
+_STATE_COUNT = len(MemberState)
 _REVISION_BITS = 30
-_FIRST_SECOND = 1_704_067_200
+_INCARNATION_EPOCH_S = 1_704_067_200
 
 
 def first_incarnation(wall_s: float) -> int:
     """Return an incarnation above those of earlier processes of this VM."""
-    return max(1, int(wall_s) - _FIRST_SECOND)
+    return max(1, int(wall_s) - _INCARNATION_EPOCH_S)
 
 
 def member_version(incarnation: int, state: MemberState, revision: int) -> int:
@@ -25,7 +25,7 @@
     A DEAD row overrides every row of that incarnation with a better state; a
     member that is alive overrides it with a new incarnation.
     """
-    rank = incarnation * _STATES + state
+    rank = incarnation * _STATE_COUNT + state
     return (rank << _REVISION_BITS) | (revision & ((1 << _REVISION_BITS) - 1))
 
 
--- a/src/rosepath/settings.py
+++ b/src/rosepath/settings.py
@@ -20,7 +20,11 @@
 
 
 class TlsSettings(Section):
-    """Name the PEM files of a listener; they are reloaded on SIGHUP."""
+    """
+    Name the PEM files of a listener.
+
+    On SIGHUP the certificates of the caller and peer listeners are reloaded.
+    """
 
     certificate_file: Path
     key_file: Path
--- a/src/rosepath/shares.py
+++ b/src/rosepath/shares.py
@@ -65,8 +65,8 @@
     any_underserved = any(
         counts.get(name, 0) < fair_share / UNDERSERVED_DIVISOR for name in live
     )
-    enough_free = counts.get(UNASSIGNED, 0) >= fair_share
-    if not any_underserved or enough_free or len(own_units) <= fair_share:
+    enough_unassigned = counts.get(UNASSIGNED, 0) >= fair_share
+    if not any_underserved or enough_unassigned or len(own_units) <= fair_share:
         return frozenset()
     return pick_evenly(own_units, len(own_units) - fair_share)
 
--- a/src/rosepath/telemetry.py
+++ b/src/rosepath/telemetry.py
@@ -92,7 +92,7 @@
     @classmethod
     def from_settings(cls, settings: Settings) -> "Telemetry":
         """Set up the exporters chosen in the settings."""
-        exporting = settings.telemetry
+        telemetry_settings = settings.telemetry
         resource = Resource.create(
             {
                 "service.name": "rosepathd",
@@ -101,20 +101,24 @@
             }
         )
         readers: list[MetricReader] = []
-        if exporting.metrics_endpoint:
+        if telemetry_settings.metrics_endpoint:
             readers.append(InMemoryMetricReader())
         tracer: trace.Tracer = trace.NoOpTracer()
-        if exporting.exporter == "otlp":
-            tracer = _otlp_tracer(resource, exporting.otlp_endpoint)
-            readers.append(_otlp_reader(exporting.otlp_endpoint))
-        elif exporting.exporter == "file":
-            path = exporting.trace_file or Path(f"traces-{settings.entry_vm}.jsonl")
+        if telemetry_settings.exporter == "otlp":
+            tracer = _otlp_tracer(resource, telemetry_settings.otlp_endpoint)
+            readers.append(_otlp_reader(telemetry_settings.otlp_endpoint))
+        elif telemetry_settings.exporter == "file":
+            path = telemetry_settings.trace_file or Path(
+                f"traces-{settings.entry_vm}.jsonl"
+            )
             provider = TracerProvider(resource=resource)
             provider.add_span_processor(SimpleSpanProcessor(FileSpanExporter(path)))
             tracer = provider.get_tracer("rosepath")
         meters = MeterProvider(metric_readers=readers, resource=resource)
         meter = meters.get_meter("rosepath")
-        return cls(tracer, meter, readers[0] if exporting.metrics_endpoint else None)
+        return cls(
+            tracer, meter, readers[0] if telemetry_settings.metrics_endpoint else None
+        )
 
     def observe(self, name: str, read: Callable[[], Mapping[str, float]]) -> None:
         """Register a gauge that reads its values, by kind, at each export."""
--- a/tests/test_supervisor.py
+++ b/tests/test_supervisor.py
@@ -10,19 +10,19 @@
     # node serving callers with a view that is never updated again.
     async def run() -> None:
         runs = 0
-        again = asyncio.Event()
+        restarted = asyncio.Event()
 
         async def fail_once() -> None:
             nonlocal runs
             runs += 1
             if runs == 1:
                 raise RuntimeError("once")
-            again.set()
+            restarted.set()
             await asyncio.Event().wait()
 
         loops = Supervisor()
         loops.forever(fail_once)
-        await asyncio.wait_for(again.wait(), 30)
+        await asyncio.wait_for(restarted.wait(), 30)
         await loops.stop()
 
     asyncio.run(run())
