--- a/tests/test_leaving_servers.py
+++ b/tests/test_leaving_servers.py
@@ -1,9 +1,8 @@
-"""No request reaches a server after its drain time, whoever fails meanwhile.
+"""No request reaches a departed server after its drain time, despite failures.
 
-Seen: on days with trouble a request reached a server 3.4 s after it had left,
-where 3 s are allowed. Each wait on the way was sound alone; in a row they were
-too long, and nothing added them up: a VM did not know as of when its table of
-servers was true.
+Guards against delays that are each within bounds but add up to more than the
+drain time (3.4 s where 3 s are allowed). This happens if a VM does not track
+the age of its server table.
 """
 
 import asyncio
@@ -13,21 +12,22 @@
 import pytest
 from fleet_world import World, play
 
-# VMs, drain time, and how long after a cut a VM is held to it again.
+# Number of VMs, drain time in seconds, and the seconds after an outage of the
+# store from which the drain time applies again.
 Size = tuple[int, float, float]
 FEW = pytest.param((5, 2.0, 3.0), id="few")
-CROWD = pytest.param((26, 3.0, 4.0), id="crowd")
-sizes = pytest.mark.parametrize("size", [FEW, CROWD])
-# Whether the entries of other servers change all the time.
+LARGE = pytest.param((26, 3.0, 4.0), id="large")
+sizes = pytest.mark.parametrize("size", [FEW, LARGE])
+# Whether the store entries of other servers change continuously.
 entries = pytest.mark.parametrize("busy", [False, True], ids=["quiet", "busy"])
 
-Course = Callable[[World], Awaitable[None]]
+Scenario = Callable[[World], Awaitable[None]]
 
 
 def latest(
     monkeypatch: pytest.MonkeyPatch,
     size: Size,
-    course: Course,
+    scenario: Scenario,
     *,
     servers: int = 8,
     connect_s: float = 0.0,
@@ -35,7 +35,7 @@
     seed: int = 7,
     data_centres: int = 1,
 ) -> list[tuple[float, str, str]]:
-    """Return the requests that reached servers latest after their drain time."""
+    """Return the five latest requests to servers past their drain time."""
     vms, drain_s, contact_s = size
     world = World(
         drain_s=drain_s,
@@ -51,7 +51,7 @@
             stay = [f"i-{number}" for number in range(servers - 2, servers)]
             world.tasks.append(asyncio.create_task(world.keep_busy(stay)))
         await asyncio.sleep(10.0)
-        await course(world)
+        await scenario(world)
         await world.close()
 
     play(run)
@@ -61,32 +61,32 @@
 
 @entries
 @sizes
-def test_a_server_leaves_while_the_holder_is_cut_off(
+def test_departures_while_the_lease_holder_cannot_reach_the_store(
     monkeypatch: pytest.MonkeyPatch, size: Size, busy: bool
 ) -> None:
-    # The holder misses the store and says so. A server's entry is removed; the
-    # others learn of it up to 1 s later, as they gather changes, and take it
-    # for a lapse in an outage: they wait another 2.2 s for it to come back.
-    # Proved by the lines of the late VMs: the look before was asked for 1.0 s
-    # before, and 2.2 s were waited out.
-    async def course(world: World) -> None:
-        for number, cut_s in enumerate((0.7, 1.7, 2.5)):
+    # The lease holder reports that it cannot reach the store. A server's entry
+    # is removed. The other VMs receive that up to 1 s later, as their watches
+    # batch changes, and may take it for an entry that expired in an outage and
+    # wait another 2.2 s for it to return. The two delays exceed the drain
+    # time.
+    async def scenario(world: World) -> None:
+        for number, outage_s in enumerate((0.7, 1.7, 2.5)):
             world.turn_away(world.holder)
-            await asyncio.sleep(cut_s)
+            await asyncio.sleep(outage_s)
             world.leave(f"i-{number}")
             await asyncio.sleep(5.0)
             world.take_back()
             await asyncio.sleep(6.0)
 
-    assert latest(monkeypatch, size, course, busy=busy) == []
+    assert latest(monkeypatch, size, scenario, busy=busy) == []
 
 
 @entries
 @sizes
-def test_a_server_leaves_as_the_holder_dies(
+def test_departures_when_the_lease_holder_fails(
     monkeypatch: pytest.MonkeyPatch, size: Size, busy: bool
 ) -> None:
-    async def course(world: World) -> None:
+    async def scenario(world: World) -> None:
         for number in range(3):
             await asyncio.sleep(3.0 + 0.3 * number)
             world.kill(world.holder)
@@ -96,38 +96,39 @@
             world.holder = f"vm-{number + 1}"
             await asyncio.sleep(5.0)
 
-    assert latest(monkeypatch, size, course, busy=busy, connect_s=0.3) == []
+    assert latest(monkeypatch, size, scenario, busy=busy, connect_s=0.3) == []
 
 
 @entries
 @sizes
-def test_many_servers_leave_at_once(
+def test_many_simultaneous_departures(
     monkeypatch: pytest.MonkeyPatch, size: Size, busy: bool
 ) -> None:
-    # 24 servers say that they leave. The holder told of the sixteen that came
-    # last into its table; of the others the VMs of a crowd learned after 8 s,
-    # for which they leave new entries to gather as long as the holder speaks.
-    async def course(world: World) -> None:
+    # 24 servers announce their departure. State messages that carry only the
+    # latest sixteen departures leave the other VMs of a large fleet to read
+    # the rest from the store up to 8 s later, the time for which their watches
+    # batch changes while they receive state messages from the lease holder.
+    async def scenario(world: World) -> None:
         await asyncio.sleep(0.2)
         for number in range(24):
             world.leave(f"i-{number}", says_so=True)
         await asyncio.sleep(10.0)
 
-    assert latest(monkeypatch, size, course, servers=30, busy=busy) == []
+    assert latest(monkeypatch, size, scenario, servers=30, busy=busy) == []
 
 
 @entries
 @sizes
-def test_a_server_leaves_of_which_the_holder_has_not_heard(
+def test_departures_missed_by_a_lease_holder_that_then_fails(
     monkeypatch: pytest.MonkeyPatch, size: Size, busy: bool
 ) -> None:
-    # The holder's watch has gone silent; a server leaves; two seconds later
-    # the holder dies. Until then it renewed its lease over other connections,
-    # and by the age of such calls its word stood for a look at the servers, of
-    # which it knew nothing: the others began to look two seconds after the
-    # last word. Proved by the lines of a play: the holder's word was 36 ms old
-    # and its last call 0.15 s, while its look at the servers was 2.4 s old.
-    async def course(world: World) -> None:
+    # The lease holder's watch stops receiving, a server departs, and two
+    # seconds later the holder fails. Until then it renews its lease over other
+    # connections. If the age of those calls counts as the age of its server
+    # table, its state messages make an outdated table look current (message
+    # age 36 ms, last store call 0.15 s, last read of the servers 2.4 s), and
+    # the other VMs start to read two seconds after the last message.
+    async def scenario(world: World) -> None:
         for number in range(3):
             holder = world.holder
             world.silence(holder)
@@ -140,69 +141,71 @@
             world.holder = f"vm-{number + 1}"
             await asyncio.sleep(5.0)
 
-    assert latest(monkeypatch, size, course, busy=busy) == []
+    assert latest(monkeypatch, size, scenario, busy=busy) == []
 
 
 @entries
 @sizes
-def test_a_server_leaves_as_connections_fall_silent(
+def test_departures_while_all_store_connections_are_silent(
     monkeypatch: pytest.MonkeyPatch, size: Size, busy: bool
 ) -> None:
-    # All connections to the store that wait fall silent for good. The holder
-    # renews its lease over new ones, and by that its word counted for fresh
-    # though it heard of no change: its watch was found dead after 2.5 s, and
-    # those of the others half a second after it told of what it then knew.
-    async def course(world: World) -> None:
+    # All open watches of the store stop receiving for good, while the lease
+    # holder renews its lease over new connections. If these renewals make its
+    # state messages count as current, the dead watches are detected too late:
+    # the holder's after 2.5 s, those of the other VMs 0.5 s after its update.
+    async def scenario(world: World) -> None:
         for number in range(4):
             world.silence(*world.nodes)
             await asyncio.sleep(1.2)
             world.leave(f"i-{number}")
             await asyncio.sleep(7.3)
 
-    assert latest(monkeypatch, size, course, busy=busy) == []
+    assert latest(monkeypatch, size, scenario, busy=busy) == []
 
 
-def test_a_server_leaves_while_a_connection_to_it_comes_about(
+def test_departures_while_a_connection_to_the_server_is_established(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    # The server is chosen, then leaves, of which the VM hears at once; the
-    # connection takes another 0.38 s. Nothing was looked at again before the
-    # request went out, so that this time (and that for an adapter) came on top
-    # of all the others. Here it alone is longer than the drain time.
-    async def course(world: World) -> None:
+    # The server is chosen, then departs, which the VM learns at once; the
+    # connection takes another 0.38 s. Unless the state of the server is
+    # checked again before the request is sent, the time to connect (or to load
+    # an adapter) adds to all other delays. Here it alone exceeds the drain
+    # time.
+    async def scenario(world: World) -> None:
         for number in range(5):
             world.leave(f"i-{number}", says_so=number % 2 == 0)
             await asyncio.sleep(2.0)
 
     size = (4, 0.3, 3.0)
-    assert latest(monkeypatch, size, course, connect_s=0.38) == []
+    assert latest(monkeypatch, size, scenario, connect_s=0.38) == []
 
 
-async def at_random(world: World) -> None:
-    """Let servers leave, and all the rest fail, in turns and at the same time."""
+async def inject_random_faults(world: World) -> None:
+    """Remove servers and inject other faults, in sequence and concurrently."""
     rng, names, dead = world.rng, list(world.nodes), 0
     leaving = iter(range(40))
     for _ in range(45):
         await asyncio.sleep(rng.uniform(0.1, 1.2))
-        what = rng.choice(["leave"] * 5 + ["away"] * 2 + ["silence", "kill", "core"])
+        fault = rng.choice(["leave"] * 5 + ["away"] * 2 + ["silence", "kill", "core"])
         some = rng.sample(names, rng.randint(1, max(1, len(names) // 2)))
-        if what == "leave":
+        if fault == "leave":
             for _ in range(rng.choice([1, 1, 2, 6])):
                 world.leave(f"i-{next(leaving, 0)}", says_so=rng.random() < 0.5)
-        elif what == "away" and world.turned_away == set(names[:dead]):
+        elif fault == "away" and world.turned_away == set(names[:dead]):
             world.turn_away(*some, *rng.choice([[], [world.holder]]))
-        elif what == "away":
+        elif fault == "away":
             world.take_back(but=names[:dead])
-        elif what == "silence":
+        elif fault == "silence":
             world.silence(*some, *rng.choice([[], [world.holder]]))
-        elif what == "kill" and dead < len(names) - 2:
+        elif fault == "kill" and dead < len(names) - 2:
             dead += 1
             world.kill(world.holder)
             await asyncio.sleep(rng.uniform(0.5, 3.0))
             world.holder_term += 1
             world.holder = names[dead]
-        elif what == "core":
-            # Who leaves just then is not acknowledged by a store that is well.
+        elif fault == "core":
+            # A departure at this moment is not acknowledged by a healthy
+            # store.
             if rng.random() < 0.5:
                 await world.forget_history()
             else:
@@ -212,31 +215,31 @@
 
 
 @sizes
-# 52: a connection goes silent while it is idle; the call that meets it a
-# second later counted as the moment of the outage, and the VM for settled that
-# much later: a removal was waited out as a lapse for 2.6 s where 2 s are
-# allowed.
+# Seed 52: an idle connection stops receiving. If the outage is dated by the
+# call that fails on it a second later, the VM counts as settled that much too
+# late and waits 2.6 s for a removed entry to return where 2 s are allowed.
 @pytest.mark.parametrize("seed", [1, 52])
-def test_servers_leave_whatever_else_fails(
+def test_departures_with_random_faults(
     monkeypatch: pytest.MonkeyPatch, size: Size, seed: int
 ) -> None:
-    course = at_random
+    scenario = inject_random_faults
     late = latest(
-        monkeypatch, size, course, servers=48, busy=True, connect_s=0.1, seed=seed
+        monkeypatch, size, scenario, servers=48, busy=True, connect_s=0.1, seed=seed
     )
     assert late == []
 
 
 @pytest.mark.parametrize("seed", [1, 2, 52])
-def test_servers_leave_while_words_go_by_way_of_others(
+def test_departures_with_random_faults_and_forwarded_state_messages(
     monkeypatch: pytest.MonkeyPatch, seed: int
 ) -> None:
-    # In a crowd the holder's word reaches most VMs by way of another one of
-    # their data centre, which may be dead, cut off or lose it.
+    # In a large fleet, most VMs receive the lease holder's state messages
+    # through a VM of their data centre, which may have failed, be disconnected
+    # or lose the message.
     late = latest(
         monkeypatch,
         (26, 3.0, 4.0),
-        at_random,
+        inject_random_faults,
         servers=48,
         busy=True,
         connect_s=0.1,
--- a/tests/test_planned_stop.py
+++ b/tests/test_planned_stop.py
@@ -1,4 +1,4 @@
-"""What a planned stop waits for, and what it does not."""
+"""A planned stop waits for pending requests, within its grace period."""
 
 import asyncio
 from collections.abc import Callable
@@ -14,8 +14,8 @@
 from rosepath.gateway import CallerExchange
 
 
-class CallersConnection:
-    """Be a caller's connection that stays open."""
+class FakeCallerConnection:
+    """Stand in for a caller's connection that stays open."""
 
     def __init__(self) -> None:
         self.stream = self
@@ -32,17 +32,17 @@
 
 
 def stop(
-    monkeypatch: pytest.MonkeyPatch, course: Callable[[EntryNode], None] | None = None
+    monkeypatch: pytest.MonkeyPatch, scenario: Callable[[EntryNode], None] | None = None
 ) -> float:
-    """Stop an entry VM; return how long that took."""
+    """Stop an entry VM; return the duration of the stop in seconds."""
     monkeypatch.setattr(entry_node, "SystemClock", LoopClock)
     took_s: list[float] = []
 
     async def run() -> None:
         node = EntryNode(entry_settings("vm"))
-        node.coordinator.leases.give_up = _nothing_held  # type: ignore[method-assign]
-        if course is not None:
-            course(node)
+        node.coordinator.leases.give_up = _release_nothing  # type: ignore[method-assign]
+        if scenario is not None:
+            scenario(node)
         loop = asyncio.get_running_loop()
         begun_s = loop.time()
         await node.stop()
@@ -53,20 +53,20 @@
     return took_s[0]
 
 
-async def _nothing_held(_: str) -> int:
+async def _release_nothing(_: str) -> int:
     return 0
 
 
 def test_a_stop_waits_for_a_request_that_is_being_read(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    # A body takes seconds over a slow link. The stop waited only for requests
-    # that had been read whole: the process ended under one that was arriving,
-    # although most of the grace was left.
+    # A body can take seconds over a slow link. A stop that waits only for
+    # requests that were read completely exits while another one is still being
+    # read, although most of the grace period is left.
     served: list[CallerExchange] = []
-    connection = CallersConnection()
+    connection = FakeCallerConnection()
 
-    def course(node: EntryNode) -> None:
+    def scenario(node: EntryNode) -> None:
         async def serve(exchange: CallerExchange) -> None:
             served.append(exchange)
             exchange.done = True
@@ -78,17 +78,18 @@
         exchange.headers_received(line, HTTPHeaders({"Content-Length": "4"}))
         asyncio.get_running_loop().call_later(4.0, exchange.finish)
 
-    took_s = stop(monkeypatch, course)
+    took_s = stop(monkeypatch, scenario)
     assert served and connection.cut_s is None
     assert took_s < 4.2
 
 
-def test_a_stop_that_can_not_hand_the_lease_back_ends_in_its_grace(
+def test_a_stop_that_cannot_release_the_lease_ends_within_its_grace(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    # The store answers slowly, but goes on answering. The stop waited for it
-    # before it closed anything, and the grace ended under all that was open.
-    def course(node: EntryNode) -> None:
+    # The store responds slowly, but does respond. A stop that waits for it
+    # before closing anything exceeds the grace period with all connections
+    # open.
+    def scenario(node: EntryNode) -> None:
         async def slowly(_: str) -> int:
             await asyncio.sleep(60.0)
             return 0
@@ -96,18 +97,19 @@
         node.coordinator.leases.give_up = slowly  # type: ignore[method-assign]
 
     grace_s = entry_settings("vm").stop.grace_s
-    assert stop(monkeypatch, course) < grace_s
+    assert stop(monkeypatch, scenario) < grace_s
 
 
-def test_idle_connections_are_closed_in_time_while_the_lease_is_given_up(
+def test_idle_connections_are_closed_in_time_while_the_lease_is_released(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    # The last swaps, the answer to the last order and the lease stand in a
-    # row, and may take longer than the balancer takes to notice. Callers' idle
-    # connections were closed only after that.
+    # Finishing the last swaps, awaiting the response to the last order and
+    # releasing the lease happen in sequence, which may take longer than the
+    # load balancer needs to detect the stop. Idle connections must not wait
+    # for that.
     closed_s: list[float] = []
 
-    def course(node: EntryNode) -> None:
+    def scenario(node: EntryNode) -> None:
         loop = asyncio.get_running_loop()
         begun_s = loop.time()
 
@@ -119,14 +121,13 @@
             loop.time() - begun_s
         )
 
-    took_s = stop(monkeypatch, course)
+    took_s = stop(monkeypatch, scenario)
     assert closed_s == [pytest.approx(entry_node.BALANCER_NOTICES_S)]
     assert took_s >= entry_node.BALANCER_NOTICES_S + 1.0
 
 
-def test_a_stop_without_requests_ends_when_the_balancer_has_noticed(
+def test_a_stop_without_requests_ends_once_the_balancer_has_detected_it(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    # A stop that waits for nothing makes a restart of all VMs that much
-    # longer.
+    # Any further wait would prolong a restart of all VMs by that much each.
     assert stop(monkeypatch) < entry_node.BALANCER_NOTICES_S + 0.2
--- a/tests/test_sessions.py
+++ b/tests/test_sessions.py
@@ -1,4 +1,4 @@
-"""Golden files of whole sessions: bytes in, bytes out, log events, spans."""
+"""Golden-file tests of sessions: requests, responses, log events, spans."""
 
 import json
 import os
@@ -67,7 +67,7 @@
 
 
 def normalised(text: str) -> str:
-    """Replace what differs from run to run."""
+    """Replace values that differ from run to run."""
     text = re.sub(r"[0-9a-f]{32}", "ID", text)
     text = re.sub(r'"created": \d+', '"created": TIME', text)
     text = re.sub(r"engine-\d|greffe-\d", "SERVER", text)
@@ -75,7 +75,7 @@
 
 
 async def play(deployment: Deployment, name: str) -> list[dict[str, Any]]:
-    """Run a session and return what passed."""
+    """Run a session; return its requests and responses."""
     steps = []
     for method, path, body, headers in SESSIONS[name]:
         if method == "FAULT":
@@ -115,9 +115,9 @@
 async def settled_spans(
     deployment: Deployment, after: int, steps: list[dict[str, Any]]
 ) -> list[str]:
-    """Return the spans once every request that got far enough has its own.
+    """Return the span names once every traced request has its span.
 
-    A request's span ends just after its answer, so the file lags a little.
+    A request's span ends after its response is sent, so it is written later.
     """
     wanted = sum(step["status"] in (200, 409, 422) for step in steps)
 
@@ -137,8 +137,8 @@
 
 
 @pytest.mark.parametrize("name", SESSIONS)
-def test_a_session_is_as_it_was(deployment: Deployment, name: str) -> None:
-    # Set UPDATE_GOLDEN=1 to write the files anew, then read the difference.
+def test_a_session_matches_its_golden_file(deployment: Deployment, name: str) -> None:
+    # Run with UPDATE_GOLDEN=1 to rewrite the files, then review the diff.
     logged = line_count(deployment.folder / "entry-1.log")
     traced = line_count(deployment.folder / "trace-entry-1.jsonl")
     steps = deployment.background.run(play(deployment, name))
--- a/tests/test_unknown_routes.py
+++ b/tests/test_unknown_routes.py
@@ -1,4 +1,7 @@
-"""A path without a route is no 404 while a newer configuration is known to exist."""
+"""Requests without a route while a newer configuration is known to exist.
+
+The route may be part of the newer configuration, so a 404 would be wrong.
+"""
 
 import asyncio
 import random
@@ -17,40 +20,42 @@
 NEW = "/new/1"
 PATHS = ("/drafts/", "/new/")
 SIZE = 100_000
-# A caller waits so long at most for a configuration that is on its way.
+# The longest time that a request waits for a configuration being fetched.
 WAIT_S = 0.3
 SLACK_S = 0.2
 
 
-class Asked(Exchange):
-    """Hold one caller's request for a path, and its answer."""
+class RecordingExchange(Exchange):
+    """Hold one caller's request for a path and record the response."""
 
     def __init__(self, path: str, world: World) -> None:
         super().__init__(f"asked-{path}", world)
         self.path = path
         self.status = 0
         self.took_s = 0.0
-        self.answered = HTTPHeaders()
+        self.response_headers = HTTPHeaders()
 
     def answer(self, status: int, headers: HTTPHeaders, _: bytes) -> None:
         assert not self.status
-        self.status, self.answered = status, headers
+        self.status, self.response_headers = status, headers
         self.took_s = now_s() - self.arrived_s
 
 
-Course = Callable[[World, EntryNode], Awaitable[Asked]]
+Scenario = Callable[[World, EntryNode], Awaitable[RecordingExchange]]
 
 
-async def ask(world: World, path: str) -> Asked:
-    """Send a request; return it with its answer."""
-    asked = Asked(path, world)
-    await world.nodes[VM].relay.serve(cast(CallerExchange, asked))
-    return asked
+async def send_request(world: World, path: str) -> RecordingExchange:
+    """Send a request; return it with its response."""
+    exchange = RecordingExchange(path, world)
+    await world.nodes[VM].relay.serve(cast(CallerExchange, exchange))
+    return exchange
 
 
-def ask_in(monkeypatch: pytest.MonkeyPatch, course: Course) -> Asked:
-    """Play a course before a VM that is alone; return its request."""
-    answers: list[Asked] = []
+def send_in_scenario(
+    monkeypatch: pytest.MonkeyPatch, scenario: Scenario
+) -> RecordingExchange:
+    """Run a scenario on a single VM; return its request."""
+    exchanges: list[RecordingExchange] = []
 
     async def run() -> None:
         world = World(rng=random.Random(7))
@@ -59,85 +64,85 @@
         world.configure(2)
         await asyncio.sleep(2.0)
         assert world.without(2) == []
-        answers.append(await course(world, world.nodes[VM]))
+        exchanges.append(await scenario(world, world.nodes[VM]))
         await world.close()
 
     play(run)
-    return answers[0]
+    return exchanges[0]
 
 
-def test_a_route_that_is_on_its_way_is_waited_for(
+def test_a_request_waits_for_a_configuration_being_fetched(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    # The operator's change was accepted, and others serve the route: a 404
-    # here tells the caller that it doesn't exist.
-    async def course(world: World, node: EntryNode) -> Asked:
+    # The operator's change is accepted and other VMs already serve the route,
+    # so a 404 here would wrongly report that it does not exist.
+    async def scenario(world: World, node: EntryNode) -> RecordingExchange:
         world.bytes_per_s[VM] = SIZE / (0.6 * WAIT_S)
         world.configure(3, paths=PATHS, size=SIZE)
         node.tables.catalog_feed.hear(world.revision)
-        return await ask(world, NEW)
+        return await send_request(world, NEW)
 
-    asked = ask_in(monkeypatch, course)
-    assert asked.status == 200
-    assert asked.took_s <= WAIT_S
+    exchange = send_in_scenario(monkeypatch, scenario)
+    assert exchange.status == 200
+    assert exchange.took_s <= WAIT_S
 
 
-def test_a_route_that_may_exist_is_refused_for_now(
+def test_a_request_for_a_route_that_may_exist_gets_a_503(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    # Another VM told of the revision and fell silent, and the store turns this
-    # one away: whether there is a route is not known, and may be soon.
-    async def course(world: World, node: EntryNode) -> Asked:
+    # Another VM announced the revision and stopped sending, and the store
+    # rejects this VM: whether the route exists is unknown for now.
+    async def scenario(world: World, node: EntryNode) -> RecordingExchange:
         world.turn_away(VM)
         world.configure(3, paths=PATHS)
         node.tables.catalog_feed.hear(world.revision)
-        return await ask(world, NEW)
+        return await send_request(world, NEW)
 
-    asked = ask_in(monkeypatch, course)
-    assert asked.status == 503
-    assert float(asked.answered["Retry-After"]) > 0
-    assert asked.took_s <= WAIT_S + SLACK_S
+    exchange = send_in_scenario(monkeypatch, scenario)
+    assert exchange.status == 503
+    assert float(exchange.response_headers["Retry-After"]) > 0
+    assert exchange.took_s <= WAIT_S + SLACK_S
 
 
 def test_a_known_route_is_served_while_a_newer_configuration_exists(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    # Most changes leave most routes alone: no reason to keep their callers.
-    async def course(world: World, node: EntryNode) -> Asked:
+    # Most changes do not affect most routes, so their requests must not wait.
+    async def scenario(world: World, node: EntryNode) -> RecordingExchange:
         world.turn_away(VM)
         world.configure(3, paths=PATHS)
         node.tables.catalog_feed.hear(world.revision)
-        return await ask(world, "/drafts/1")
+        return await send_request(world, "/drafts/1")
 
-    asked = ask_in(monkeypatch, course)
-    assert asked.status == 200
-    assert asked.took_s <= 0.01
+    exchange = send_in_scenario(monkeypatch, scenario)
+    assert exchange.status == 200
+    assert exchange.took_s <= 0.01
 
 
-def test_a_path_without_a_route_is_a_404_at_once(
+def test_a_current_configuration_without_the_route_gives_a_404_at_once(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    # With a configuration that is current there is nothing to wait for, and
-    # word of the revision that is in force is no news.
-    async def course(world: World, node: EntryNode) -> Asked:
+    # The configuration is current, so there is nothing to wait for. A peer's
+    # report of the revision in force does not make it outdated.
+    async def scenario(world: World, node: EntryNode) -> RecordingExchange:
         node.tables.catalog_feed.hear(node.tables.catalog_feed.changed_revision)
-        return await ask(world, NEW)
+        return await send_request(world, NEW)
 
-    asked = ask_in(monkeypatch, course)
-    assert asked.status == 404
-    assert asked.took_s <= 0.01
+    exchange = send_in_scenario(monkeypatch, scenario)
+    assert exchange.status == 404
+    assert exchange.took_s <= 0.01
 
 
-def test_a_route_that_a_newer_configuration_lacks_too_is_a_404(
+def test_a_newer_configuration_without_the_route_gives_a_404(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    # Refused for now, its caller would come back again and again for nothing.
-    async def course(world: World, node: EntryNode) -> Asked:
+    # A 503 here would make the caller retry without any chance of success.
+    async def scenario(world: World, node: EntryNode) -> RecordingExchange:
         world.bytes_per_s[VM] = SIZE / (0.6 * WAIT_S)
         world.configure(3, size=SIZE)
         node.tables.catalog_feed.hear(world.revision)
-        return await ask(world, NEW)
+        return await send_request(world, NEW)
 
-    asked = ask_in(monkeypatch, course)
-    assert asked.status == 404
-    assert asked.took_s <= WAIT_S
+    exchange = send_in_scenario(monkeypatch, scenario)
+    assert exchange.status == 404
+    assert exchange.took_s <= WAIT_S
