--- a/src/rosepath/entry_daemon.py
+++ b/src/rosepath/entry_daemon.py
@@ -65,9 +65,9 @@
     loop.add_signal_handler(signal.SIGTERM, stop.set)
     loop.add_signal_handler(signal.SIGINT, stop.set)
     loop.add_signal_handler(signal.SIGHUP, look.set)
-    following = asyncio.ensure_future(follow_settings(node.reload, path, look))
+    settings_task = asyncio.ensure_future(follow_settings(node.reload, path, look))
     await stop.wait()
-    following.cancel()
+    settings_task.cancel()
     await node.stop()
     return 0
 
--- a/src/rosepath/entry_settings.py
+++ b/src/rosepath/entry_settings.py
@@ -40,7 +40,7 @@
 
 
 class PeerAddress(Section):
-    """Address on which this VM receives datagrams from other entry VMs."""
+    """Address on which other entry VMs reach this one, by UDP and HTTP."""
 
     listen: Address
 
--- a/src/rosepath/gateway.py
+++ b/src/rosepath/gateway.py
@@ -144,8 +144,8 @@
             return None
         written = self._connection.write(data)
         _ignore_write_error(written)
-        waiting = self._connection.stream._write_buffer
-        if waiting is not None and len(waiting) > WRITE_AHEAD_BYTES:
+        write_buffer = self._connection.stream._write_buffer
+        if write_buffer is not None and len(write_buffer) > WRITE_AHEAD_BYTES:
             return written
         return None
 
--- a/tests/test_callers.py
+++ b/tests/test_callers.py
@@ -43,13 +43,15 @@
 
 
 def test_a_chat_completion_returns_the_full_text(client: openai.OpenAI) -> None:
-    answer = client.chat.completions.create(
+    completion = client.chat.completions.create(
         model="court-rules", messages=MESSAGES, max_tokens=9
     )
-    assert answer.choices[0].message.content == answer_text("court-rules", PROMPT, 9)
-    assert answer.usage is not None
-    assert answer.usage.completion_tokens == 9
-    assert answer.choices[0].finish_reason == "length"
+    assert completion.choices[0].message.content == answer_text(
+        "court-rules", PROMPT, 9
+    )
+    assert completion.usage is not None
+    assert completion.usage.completion_tokens == 9
+    assert completion.choices[0].finish_reason == "length"
 
 
 def test_a_chat_completion_streams(client: openai.OpenAI) -> None:
@@ -108,7 +110,7 @@
 
 
 @pytest.mark.parametrize(
-    ("path", "body", "given", "status"),
+    ("path", "body", "extra_headers", "status"),
     [
         ("/v1/chat/completions", b"{", {}, 400),
         ("/v1/chat/completions", b"[]", {}, 400),
@@ -124,18 +126,22 @@
     ],
 )
 def test_bad_input_gets_a_typed_error_that_states_it_did_not_run(
-    shared: Deployment, path: str, body: bytes, given: dict[str, str], status: int
+    shared: Deployment,
+    path: str,
+    body: bytes,
+    extra_headers: dict[str, str],
+    status: int,
 ) -> None:
-    head, answer = shared.background.run(
+    head, response_body = shared.background.run(
         shared.request(
             shared.daemons["entry-1"].callers,
             "POST",
             path,
             body=body,
-            headers={"Authorization": f"Bearer {KEY}", **given},
+            headers={"Authorization": f"Bearer {KEY}", **extra_headers},
         )
     )
-    error = json.loads(answer)["error"]
+    error = json.loads(response_body)["error"]
     assert (head.status, error["run"]) == (status, "no")
     assert head.headers["Rosepath-Run"] == "no"
 
@@ -185,7 +191,7 @@
     shared: Deployment,
 ) -> None:
     body = bytes(range(256)) * 8192
-    head, answer = shared.background.run(
+    head, response_body = shared.background.run(
         shared.request(
             shared.daemons["entry-2"].callers,
             "POST",
@@ -195,7 +201,7 @@
         )
     )
     assert head.status == 200
-    assert answer == body
+    assert response_body == body
 
 
 def test_health_and_metrics_endpoints_respond(shared: Deployment) -> None:
--- a/tests/test_entry_settings.py
+++ b/tests/test_entry_settings.py
@@ -63,7 +63,9 @@
         file.write_text(rendered())
         applied: list[EntrySettings] = []
         look = asyncio.Event()
-        following = asyncio.ensure_future(follow_settings(applied.append, file, look))
+        settings_task = asyncio.ensure_future(
+            follow_settings(applied.append, file, look)
+        )
         await asyncio.sleep(0)
         for text in (rendered(zone="casa-b"), "zone = ", rendered(zone="casa-c")):
             file.write_text(text)
@@ -71,7 +73,7 @@
             async with asyncio.timeout(10):
                 while look.is_set():  # noqa: ASYNC110
                     await asyncio.sleep(0)
-        following.cancel()
+        settings_task.cancel()
         assert [settings.data_centre for settings in applied] == ["casa-b", "casa-c"]
 
     asyncio.run(run())
--- a/tests/test_leaving_servers.py
+++ b/tests/test_leaving_servers.py
@@ -187,16 +187,16 @@
     for _ in range(45):
         await asyncio.sleep(rng.uniform(0.1, 1.2))
         fault = rng.choice(["leave"] * 5 + ["away"] * 2 + ["silence", "kill", "core"])
-        some = rng.sample(names, rng.randint(1, max(1, len(names) // 2)))
+        affected_vms = rng.sample(names, rng.randint(1, max(1, len(names) // 2)))
         if fault == "leave":
             for _ in range(rng.choice([1, 1, 2, 6])):
                 world.leave(f"i-{next(leaving, 0)}", says_so=rng.random() < 0.5)
         elif fault == "away" and world.turned_away == set(names[:dead]):
-            world.turn_away(*some, *rng.choice([[], [world.holder]]))
+            world.turn_away(*affected_vms, *rng.choice([[], [world.holder]]))
         elif fault == "away":
             world.take_back(but=names[:dead])
         elif fault == "silence":
-            world.silence(*some, *rng.choice([[], [world.holder]]))
+            world.silence(*affected_vms, *rng.choice([[], [world.holder]]))
         elif fault == "kill" and dead < len(names) - 2:
             dead += 1
             world.kill(world.holder)
--- a/tests/test_sessions.py
+++ b/tests/test_sessions.py
@@ -82,7 +82,7 @@
             for engine in deployment.engines.values():
                 await deployment.fault(engine, path, value=float(body))
             continue
-        head, answer = await deployment.request(
+        head, response_body = await deployment.request(
             deployment.daemons["entry-1"].callers,
             method,
             path,
@@ -95,7 +95,7 @@
                 "request": f"{method} {path} {body}",
                 "status": head.status,
                 "headers": {k: head.headers[k] for k in kept if k in head.headers},
-                "answer": normalised(answer.decode()).split("\n"),
+                "answer": normalised(response_body.decode()).split("\n"),
             }
         )
     return steps
