--- a/src/rosepath/admission.py
+++ b/src/rosepath/admission.py
@@ -6,10 +6,10 @@
 
 from rosepath.clock import Clock
 from rosepath.errors import Step, refuse
-from rosepath.limits import LimitRow, applying, take_rates
+from rosepath.limits import LimitRow, matching_limits, take_rate_tokens
 
 Borrow = Callable[[str, str], Awaitable[str | None]]
-GiveBack = Callable[[str, str, str], Awaitable[None]]
+ReturnSlot = Callable[[str, str, str], Awaitable[None]]
 
 FULL_RETRY_AFTER_S = 1.0
 
@@ -17,18 +17,18 @@
 class Admission:
     """Hold the limits' rows and admit requests under them."""
 
-    def __init__(self, *, clock: Clock, borrow: Borrow, give_back: GiveBack) -> None:
+    def __init__(self, *, clock: Clock, borrow: Borrow, return_slot: ReturnSlot) -> None:
         self.rows: dict[str, LimitRow] = {}
         self._clock = clock
         self._borrow = borrow
-        self._give_back = give_back
+        self._return_slot = return_slot
 
     @asynccontextmanager
     async def admit(
         self, *, caller: str, target: str, request_id: str
     ) -> AsyncIterator[None]:
         """Hold a slot of every limit that applies while a request runs."""
-        rows = applying(self.rows.values(), caller, target)
+        rows = matching_limits(self.rows.values(), caller, target)
         held: list[LimitRow] = []
         try:
             for row in rows:
@@ -58,7 +58,7 @@
         )
 
     def _take_rates(self, rows: list[LimitRow]) -> None:
-        refusal = take_rates(rows, now_s=self._clock.monotonic_s())
+        refusal = take_rate_tokens(rows, now_s=self._clock.monotonic_s())
         if refusal is not None:
             raise refuse(
                 429,
@@ -72,4 +72,4 @@
         row.own.discard(request_id)
         lender = row.borrowed.pop(request_id, None)
         if lender is not None:
-            asyncio.ensure_future(self._give_back(lender, row.name, request_id))
+            asyncio.ensure_future(self._return_slot(lender, row.name, request_id))
--- a/src/rosepath/attempt.py
+++ b/src/rosepath/attempt.py
@@ -4,7 +4,7 @@
 from collections.abc import Awaitable, Callable
 from dataclasses import dataclass
 
-from rosepath.caller_call import CallerCall
+from rosepath.caller_call import CallerRequest
 from rosepath.clock import Clock
 from rosepath.errors import ExchangeError, RosepathError, Step
 from rosepath.event_sequence import EventSequence, EventSequenceError
@@ -109,7 +109,7 @@
 
     async def send(
         self,
-        call: CallerCall,
+        call: CallerRequest,
         server: BackendServer,
         options: AttemptOptions,
         *,
--- a/src/rosepath/caller_call.py
+++ b/src/rosepath/caller_call.py
@@ -38,7 +38,7 @@
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
-class CallerCall:
+class CallerRequest:
     """Hold one complete request.
 
     `wait_s` is how long the caller is prepared to wait.
--- a/src/rosepath/catalog.py
+++ b/src/rosepath/catalog.py
@@ -51,7 +51,7 @@
         return self.kind is RouteKind.IDEMPOTENT
 
     @property
-    def event_patience_s(self) -> float:
+    def event_timeout_s(self) -> float:
         """Return how long a stream's caller waits for the next event."""
         return max(2.0, 4 * self.target_latency_s, 8 * self.target_gap_s)
 
--- a/src/rosepath/content_key.py
+++ b/src/rosepath/content_key.py
@@ -2,12 +2,12 @@
 
 from hashlib import blake2b
 
-from rosepath.caller_call import CallerCall
+from rosepath.caller_call import CallerRequest
 
 KEY_BYTES = 12
 
 
-def content_key(call: CallerCall) -> str:
+def content_key(call: CallerRequest) -> str:
     """Return a key that a request shares with its retries, on every entry VM.
 
     The hash is cryptographic, so that no caller can craft a request that gets
--- a/src/rosepath/crash_records.py
+++ b/src/rosepath/crash_records.py
@@ -34,7 +34,7 @@
 MAX_RECORDS = 500
 
 
-class ServerLife(NamedTuple):
+class ServerInstance(NamedTuple):
     """Identify one instance of a server, from its start to its end."""
 
     server: str
@@ -58,7 +58,7 @@
     """Report that a server crashed while a request was in flight there."""
 
     content_key: str
-    life: ServerLife
+    instance: ServerInstance
     exposure: Exposure
 
 
@@ -84,22 +84,22 @@
     `cleared` are those before its last completed run.
     """
 
-    exposures: dict[ServerLife, Exposure] = field(default_factory=dict)
-    cleared: set[ServerLife] = field(default_factory=set)
+    exposures: dict[ServerInstance, Exposure] = field(default_factory=dict)
+    cleared: set[ServerInstance] = field(default_factory=set)
     changed_s: float = 0.0
     # When it was identified as the cause; provisional until `confirmed`.
     identified_s: float | None = None
     confirmed: bool = False
 
-    def open_crashes(self, explained: set[ServerLife]) -> set[ServerLife]:
+    def open_crashes(self, explained: set[ServerInstance]) -> set[ServerInstance]:
         """Return the crashes not cleared nor explained by another request."""
         return self.exposures.keys() - self.cleared - explained
 
-    def was_isolated(self, explained: set[ServerLife]) -> bool:
+    def was_isolated(self, explained: set[ServerInstance]) -> bool:
         """Return whether a server crashed with this as its only suspect."""
         return any(
-            self.exposures[life] is Exposure.ISOLATED
-            for life in self.open_crashes(explained)
+            self.exposures[instance] is Exposure.ISOLATED
+            for instance in self.open_crashes(explained)
         )
 
     @property
@@ -107,8 +107,8 @@
         """Return the sort key: number of crashes, then sum of exposures."""
         exposures = [
             exposure
-            for life, exposure in self.exposures.items()
-            if life not in self.cleared
+            for instance, exposure in self.exposures.items()
+            if instance not in self.cleared
         ]
         return len(exposures), sum(exposures)
 
@@ -122,7 +122,7 @@
     def __init__(self, *, clock: Clock) -> None:
         self._clock = clock
         self._records: OrderedDict[str, _Record] = OrderedDict()
-        self._explained: set[ServerLife] = set()
+        self._explained: set[ServerInstance] = set()
         self._recent_reports: OrderedDict[CrashReport, float] = OrderedDict()
         self._cleared: dict[str, float] = {}
 
@@ -134,9 +134,9 @@
         record = self._records.get(report.content_key) or self._create(
             report.content_key
         )
-        if record.exposures.get(report.life, 0) >= report.exposure:
+        if record.exposures.get(report.instance, 0) >= report.exposure:
             return False
-        record.exposures[report.life] = report.exposure
+        record.exposures[report.instance] = report.exposure
         record.changed_s = self._clock.monotonic_s()
         self._records.move_to_end(report.content_key)
         self._recent_reports[report] = record.changed_s
@@ -185,7 +185,7 @@
             return Suspicion.QUARANTINED if record.confirmed else Suspicion.HELD
         crashes = record.open_crashes(self._explained)
         was_starting = any(
-            record.exposures[life] >= Exposure.STARTING for life in crashes
+            record.exposures[instance] >= Exposure.STARTING for instance in crashes
         )
         suspect = was_starting or len(crashes) > 1
         return Suspicion.SUSPECT if suspect else Suspicion.CLEAR
@@ -198,7 +198,7 @@
     def crashed(self, content_key: str) -> list[str]:
         """Return the servers that crashed with a request in flight."""
         record = self._records.get(content_key)
-        return [] if record is None else [life.server for life in record.exposures]
+        return [] if record is None else [instance.server for instance in record.exposures]
 
     def told(self) -> tuple[CrashReport, ...]:
         """Return the reports that other VMs may not have received yet."""
@@ -245,7 +245,7 @@
         distinguished from requests that are in flight everywhere.
         """
         self._confirm()
-        explained: set[ServerLife] = set()
+        explained: set[ServerInstance] = set()
         for record in self._records.values():
             if record.confirmed:
                 explained.update(record.exposures)
--- a/src/rosepath/crash_watch.py
+++ b/src/rosepath/crash_watch.py
@@ -11,7 +11,7 @@
     CrashRecords,
     CrashReport,
     Exposure,
-    ServerLife,
+    ServerInstance,
 )
 from rosepath.fleet import BackendServer
 from rosepath.http_client import Contact
@@ -53,16 +53,16 @@
     """
 
     def __init__(
-        self, me: str, *, clock: Clock, probe: Probe, on_news: Callable[[], None]
+        self, me: str, *, clock: Clock, probe: Probe, on_change: Callable[[], None]
     ) -> None:
         self._me = me
         self.records = CrashRecords(clock=clock)
-        self.isolated = IsolatedRuns(on_started=on_news)
+        self.isolated = IsolatedRuns(on_started=on_change)
         self._clock = clock
         self._probe = probe
-        self._on_news = on_news
-        self._lost_runs: dict[ServerLife, list[LostRun]] = {}
-        self._probes: dict[ServerLife, asyncio.Task[None]] = {}
+        self._on_news = on_change
+        self._lost_runs: dict[ServerInstance, list[LostRun]] = {}
+        self._probes: dict[ServerInstance, asyncio.Task[None]] = {}
 
     def note_timeout(self, server: BackendServer, run: LostRun) -> None:
         """Record a run aborted because its server exceeded a timeout.
@@ -71,7 +71,7 @@
         delays the request further. A crash shows in the server's entry.
         """
         if server.usable:
-            self._record_lost(life_of(server), run)
+            self._record_lost(instance_of(server), run)
 
     async def note_lost(self, server: BackendServer, run: LostRun) -> None:
         """Record a lost run and wait for the result of a probe of its server.
@@ -81,36 +81,36 @@
         """
         if not server.usable:
             return
-        life = life_of(server)
-        self._record_lost(life, run)
-        probe = self._probes.get(life)
+        instance = instance_of(server)
+        self._record_lost(instance, run)
+        probe = self._probes.get(instance)
         if probe is None:
-            probe = asyncio.ensure_future(self._probe_server(server.address, life))
-            self._probes[life] = probe
+            probe = asyncio.ensure_future(self._probe_server(server.address, instance))
+            self._probes[instance] = probe
         # Several requests may share the probe; one that is cancelled because
         # its caller disconnected must not cancel the probe.
         await asyncio.shield(probe)
 
-    async def _probe_server(self, address: str, life: ServerLife) -> None:
+    async def _probe_server(self, address: str, instance: ServerInstance) -> None:
         begun_s = self._clock.monotonic_s()
         try:
             contact = await self._probe(address, limit_s=PROBE_TIMEOUT_S)
         finally:
-            del self._probes[life]
+            del self._probes[instance]
         if contact is Contact.REFUSED:
-            self.note_crashed(life)
+            self.note_crashed(instance)
         elif contact is Contact.ACCEPTED:
-            self._drop_lost(life, until_s=begun_s)
+            self._drop_lost(instance, until_s=begun_s)
 
-    def note_crashed(self, life: ServerLife) -> None:
+    def note_crashed(self, instance: ServerInstance) -> None:
         """Report the runs that a crashed server lost recently."""
         self._drop_expired()
-        for run in self._lost_runs.pop(life, ()):
+        for run in self._lost_runs.pop(instance, ()):
             self._report_crash(
-                CrashReport(run.content_key, life, run.exposure), run.request_id
+                CrashReport(run.content_key, instance, run.exposure), run.request_id
             )
 
-    def may_go(self, content_key: str, *, request_id: str) -> bool:
+    def may_send_isolated(self, content_key: str, *, request_id: str) -> bool:
         """Return whether a suspect may be sent now, without other suspects."""
         return self.isolated.may_start(
             content_key,
@@ -146,30 +146,30 @@
             "crash_reported",
             request_id=request_id,
             content=report.content_key,
-            peer=report.life.server,
-            born_ms=report.life.born_ms,
+            peer=report.instance.server,
+            born_ms=report.instance.born_ms,
             exposure=report.exposure.name.lower(),
             suspicion=self.records.suspicion(report.content_key).name.lower(),
         )
 
-    def _record_lost(self, life: ServerLife, run: LostRun) -> None:
+    def _record_lost(self, instance: ServerInstance, run: LostRun) -> None:
         self._drop_expired()
-        self._lost_runs.setdefault(life, []).append(run)
+        self._lost_runs.setdefault(instance, []).append(run)
 
     def _drop_expired(self) -> None:
         limit_s = self._clock.monotonic_s() - LOST_RUN_TTL_S
-        for life in list(self._lost_runs):
-            self._drop_lost(life, until_s=limit_s)
+        for instance in list(self._lost_runs):
+            self._drop_lost(instance, until_s=limit_s)
 
-    def _drop_lost(self, life: ServerLife, *, until_s: float) -> None:
+    def _drop_lost(self, instance: ServerInstance, *, until_s: float) -> None:
         """Drop the runs that a server lost up to `until_s`."""
         remaining = [
-            run for run in self._lost_runs.pop(life, ()) if run.lost_s > until_s
+            run for run in self._lost_runs.pop(instance, ()) if run.lost_s > until_s
         ]
         if remaining:
-            self._lost_runs[life] = remaining
+            self._lost_runs[instance] = remaining
 
 
-def life_of(server: BackendServer) -> ServerLife:
+def instance_of(server: BackendServer) -> ServerInstance:
     """Return the instance that a server's entry describes."""
-    return ServerLife(server.name, server.entry.born_ms)
+    return ServerInstance(server.name, server.entry.born_ms)
--- a/src/rosepath/demand_history.py
+++ b/src/rosepath/demand_history.py
@@ -41,4 +41,6 @@
         for model, demand in demands.items():
             if model not in held:
                 more = demand.requests_per_s * elapsed_s
-                self.unserved_requests[model] = self.unserved_requests.get(model, 0.0) + more
+                self.unserved_requests[model] = (
+                    self.unserved_requests.get(model, 0.0) + more
+                )
--- a/src/rosepath/engine_plan.py
+++ b/src/rosepath/engine_plan.py
@@ -80,7 +80,9 @@
     The last argument counts the unserved requests for each model without a
     replica.
     """
-    state = PlanState.from_views(engines, models, demands, limits=limits, unserved_requests=unserved_requests)
+    state = PlanState.from_views(
+        engines, models, demands, limits=limits, unserved_requests=unserved_requests
+    )
     free = {engine.name: engine for engine in engines if engine.accepts_orders}
     swapping = len(engines) - len(free)
     swaps: list[Swap] = []
@@ -149,9 +151,9 @@
     spec = state.models[model]
     from_store = model not in engine.local_load_s
     load_s = spec.load_s if from_store else engine.local_load_s[model]
-    gain = UNSERVED_REQUEST_WEIGHT * state.unserved_requests.get(model, 0.0) + _discounted_gain(
-        replica_gain_per_s, load_s
-    )
+    gain = UNSERVED_REQUEST_WEIGHT * state.unserved_requests.get(
+        model, 0.0
+    ) + _discounted_gain(replica_gain_per_s, load_s)
     gain += _new_data_centre_gain(engine, model, state)
     blocked_per_s = (
         LOADING_COST_PER_S + BLOCKED_ADAPTER_COST_PER_S * state.missing_adapters(engine)
--- a/src/rosepath/engine_strain.py
+++ b/src/rosepath/engine_strain.py
@@ -88,7 +88,9 @@
         late = 1.0 - in_time + queueing + in_time * late_prefill_share(workload, limits)
         late = max(0.0, late - TOLERATED_LATE_SHARE) / (1.0 - TOLERATED_LATE_SHARE)
         late = min(MAX_LATE_SHARE, late)
-    return workload.requests_per_s * late + LATE_PER_S_PER_EXCESS_ADAPTER * excess_adapters
+    return (
+        workload.requests_per_s * late + LATE_PER_S_PER_EXCESS_ADAPTER * excess_adapters
+    )
 
 
 def late_prefill_share(workload: Workload, limits: EngineLimits) -> float:
--- a/src/rosepath/entry_node.py
+++ b/src/rosepath/entry_node.py
@@ -17,14 +17,14 @@
     http_fetcher,
 )
 from rosepath.configuration_view import ConfigurationView
-from rosepath.crash_watch import CrashWatch, life_of
+from rosepath.crash_watch import CrashWatch, instance_of
 from rosepath.entry_metrics import EntryMetrics
 from rosepath.entry_settings import EntrySettings
 from rosepath.feed import StoreWatcher, WatchPolicy
 from rosepath.fleet import BackendServer
 from rosepath.gateway import CallerExchange, Gateway
 from rosepath.http_client import HttpPool
-from rosepath.isolation import Isolation
+from rosepath.data_centre_isolation import DataCentreIsolation
 from rosepath.logs import get_logger
 from rosepath.peer_exchange import VM_KIND, PeerExchange
 from rosepath.peer_messages import NEVER_S
@@ -36,18 +36,22 @@
 from rosepath.prompt_caches import PromptCaches
 from rosepath.relay import Relay
 from rosepath.request_context import RelayPorts
-from rosepath.request_records import RequestRecords
+from rosepath.request_records import RequestRecorder
 from rosepath.retry_window import RetryWindow
 from rosepath.server_choice import note_backoff
 from rosepath.server_notice import ServerNotice
 from rosepath.settings import split_address
-from rosepath.store_pace import WatchConditions, catalog_watch_policy, servers_watch_policy
+from rosepath.store_pace import (
+    WatchConditions,
+    catalog_watch_policy,
+    servers_watch_policy,
+)
 from rosepath.store_tables import StoreTables
 from rosepath.supervisor import Supervisor
 
 # The load balancer checks readiness once a second and removes a VM after two
 # failed checks.
-BALANCER_NOTICES_S = 2.6
+BALANCER_DETECTION_S = 2.6
 # The part of the grace period reserved for closing connections and exiting.
 STOP_MARGIN_S = 0.6
 
@@ -109,18 +113,20 @@
             settings.entry_vm,
             clock=self.clock,
             probe=self.pool.probe,
-            on_news=lambda: self.exchange.send_state_soon(),
+            on_change=lambda: self.exchange.send_state_soon(),
         )
         self.tables = StoreTables(
             self.store,
             clock=self.clock,
             servers_watch_policy=self._servers_watch_policy,
             catalog_watch_policy=lambda: catalog_watch_policy(
-                self._watch_conditions(self.tables.catalog_watcher, self.settings.apply_s)
+                self._watch_conditions(
+                    self.tables.catalog_watcher, self.settings.apply_s
+                )
             ),
             on_catalog=self._on_catalog_applied,
             on_restarted=self.caches.forget,
-            on_removed=lambda server: self.crashes.note_crashed(life_of(server)),
+            on_removed=lambda server: self.crashes.note_crashed(instance_of(server)),
             drain_s=settings.drain_s,
             settle_s=settings.settle_s,
             boot_clock=BootClock(),
@@ -136,7 +142,7 @@
             catalog=lambda: self.tables.catalog,
             peers=self.peers,
             stopping=lambda: self.stopping,
-            cut_off=lambda: self.isolation.cut_off,
+            cut_off=lambda: self.data_centre_isolation.cut_off,
             changed=self.tables.notify_waiters,
         )
         self.coordinator.leases.quarantined = lambda: self.crashes.records.quarantined
@@ -165,13 +171,13 @@
         self.configuration_server = HTTPServer(
             configuration_application(lambda: self.tables.configuration)
         )
-        self.isolation = Isolation(
+        self.data_centre_isolation = DataCentreIsolation(
             settings.data_centre,
             peers=self.peers,
             store=self.store,
             probe=f"{VM_KIND}/{settings.entry_vm}",
         )
-        self.records = RequestRecords(self.metrics, clock=self.clock)
+        self.records = RequestRecorder(self.metrics, clock=self.clock)
         self.relay = Relay(
             RelayPorts(
                 data_centre=settings.data_centre,
@@ -202,7 +208,7 @@
         # The configuration and the server table arrive in either order, as the
         # configuration may also be fetched from a peer.
         known = self.tables.catalog is not None and self.tables.servers_known
-        return known and not self.stopping and not self.isolation.cut_off
+        return known and not self.stopping and not self.data_centre_isolation.cut_off
 
     async def start(self) -> None:
         """Listen and start every loop."""
@@ -231,7 +237,7 @@
         self.loops.forever(self.exchange.join)
         self.loops.forever(self.exchange.link.run)
         self.loops.every(PEER_EXPIRY_TICK_S, self.exchange.drop_inactive_load)
-        self.loops.every(ISOLATION_TICK_S, self.isolation.step)
+        self.loops.every(ISOLATION_TICK_S, self.data_centre_isolation.step)
         self.loops.every(LEASE_TICK_S, self._step_lease)
         self.loops.forever(self._plan)
         _log.info("started", callers=self.settings.callers.listen)
@@ -244,14 +250,14 @@
         # Requests still queued at that time are refused without running, so
         # that their callers retry at another VM. Left in the queue, they would
         # be closed without a response when the grace period ends.
-        self.wait_limit_s = started_s + BALANCER_NOTICES_S
-        _log.info("stopping", in_flight=len(self.gateway.open))
+        self.wait_limit_s = started_s + BALANCER_DETECTION_S
+        _log.info("stopping", in_flight=len(self.gateway.serving))
         self.exchange.link.send_state()
         # Concurrent with the wait below: idle connections that stay open
         # longer can carry further requests, with only the rest of the grace
         # period to serve them.
         releasing = asyncio.ensure_future(self.coordinator.release())
-        await asyncio.sleep(BALANCER_NOTICES_S)
+        await asyncio.sleep(BALANCER_DETECTION_S)
         self.gateway.close_idle()
         await releasing
         limit_s = started_s + self.settings.stop.grace_s - STOP_MARGIN_S
@@ -322,7 +328,7 @@
             "ready": self.ready,
             "requests_suspected": len(self.crashes.records),
             "requests_quarantined": len(self.crashes.records.quarantined),
-            "in_flight": len(self.gateway.open),
+            "in_flight": len(self.gateway.serving),
         }
 
     def _configuration_view(self) -> ConfigurationView:
@@ -367,7 +373,9 @@
             )
         return policy
 
-    def _watch_conditions(self, feed: StoreWatcher, staleness_limit_s: float) -> WatchConditions:
+    def _watch_conditions(
+        self, feed: StoreWatcher, staleness_limit_s: float
+    ) -> WatchConditions:
         """Return the conditions that determine how to watch a kind of objects.
 
         The holder of the placement lease relies only on its own reads of the
@@ -383,7 +391,7 @@
         )
 
     def _on_catalog_applied(self, catalog: Catalog) -> None:
-        self.gateway.limit(catalog.limits)
+        self.gateway.apply_limits(catalog.limits)
         if self.coordinator.term:
             # Other VMs may fetch the new configuration only once they are
             # notified. Send that now: in a large fleet, the next regular state
--- a/src/rosepath/fleet.py
+++ b/src/rosepath/fleet.py
@@ -53,7 +53,7 @@
     unread_tokens: int = 0
     target: str = ""
     # When its first event arrived from this server.
-    begun_s: float | None = None
+    first_event_s: float | None = None
     # Whether it is suspected of crashing servers and is the only suspect on
     # this one.
     isolated: bool = False
@@ -136,12 +136,18 @@
 
     def moved_ago_s(self, now_s: float) -> float | None:
         """Return the time since its last progress for this VM, if any."""
-        return None if self.last_activity_s is None else round(now_s - self.last_activity_s, 3)
+        return (
+            None
+            if self.last_activity_s is None
+            else round(now_s - self.last_activity_s, 3)
+        )
 
     @property
     def requests(self) -> int:
         """Return the requests of all entry VMs at this server."""
-        return len(self.in_flight_requests) + sum(load.requests for load in self.peers.values())
+        return len(self.in_flight_requests) + sum(
+            load.requests for load in self.peers.values()
+        )
 
     @property
     def unread_tokens(self) -> int:
@@ -278,5 +284,7 @@
     return PeerLoad(
         requests=len(in_flight_requests),
         unread_tokens=sum(flight.unread_tokens for flight in in_flight_requests),
-        targets=Counter(flight.target for flight in in_flight_requests if flight.target),
+        targets=Counter(
+            flight.target for flight in in_flight_requests if flight.target
+        ),
     )
--- a/src/rosepath/gateway.py
+++ b/src/rosepath/gateway.py
@@ -101,7 +101,7 @@
         # Between the end of the request and the end of the response, only the
         # connection's close callback reports that the caller disconnected.
         self._connection.set_close_callback(self.on_connection_close)
-        self._gateway.open.add(self)
+        self._gateway.serving.add(self)
         self._task = asyncio.ensure_future(self._gateway.serve(self))
         self._task.add_done_callback(self._on_served)
 
@@ -114,7 +114,7 @@
         self._body.clear()
 
     def _on_served(self, task: asyncio.Task[None]) -> None:
-        self._gateway.open.discard(self)
+        self._gateway.serving.discard(self)
         if not self.done:
             self.abort()
         if not task.cancelled() and task.exception() is not None:
@@ -194,7 +194,7 @@
         self._serve = serve
         self.clock = clock
         self.on_failure = on_failure
-        self.open: set[CallerExchange] = set()
+        self.serving: set[CallerExchange] = set()
         self.idle: set[CallerExchange] = set()
         # Requests whose headers are complete and whose body is being read.
         self.reading: set[CallerExchange] = set()
@@ -221,7 +221,7 @@
     @property
     def pending_requests(self) -> int:
         """Return the number of requests being read or served."""
-        return len(self.reading) + len(self.open)
+        return len(self.reading) + len(self.serving)
 
     def close_idle(self) -> None:
         """Stop listening and close idle connections.
@@ -237,7 +237,7 @@
         """Serve one request."""
         await self._serve(exchange)
 
-    def limit(self, limits: CallerLimits) -> None:
+    def apply_limits(self, limits: CallerLimits) -> None:
         """Apply limits on what callers may send, from the next request on."""
         params = self.server.conn_params
         params.max_header_size = limits.max_header_bytes
--- a/src/rosepath/held_moves.py
+++ b/src/rosepath/held_moves.py
@@ -5,7 +5,7 @@
 
 from rosepath.clock import Clock
 from rosepath.fleet import Fleet
-from rosepath.peer_messages import ResidencyChange, PeerState
+from rosepath.peer_messages import PeerState, ResidencyChange
 from rosepath.prompt_caches import PromptCaches
 
 # How long a change is sent to peers; by then the engine's own entry shows it.
--- a/src/rosepath/isolation.py
+++ b/src/rosepath/isolation.py
@@ -17,7 +17,7 @@
 _log = get_logger()
 
 
-class Isolation:
+class DataCentreIsolation:
     """Own the state `cut_off`; while it is set, the entry VM is not ready."""
 
     def __init__(
--- a/src/rosepath/lease_keeper.py
+++ b/src/rosepath/lease_keeper.py
@@ -85,12 +85,16 @@
             self._announced[name] = version
             self._announced_s[name] = now_s
 
-    def note_resignation(self, name: str, *, version: int, last_action_age_s: float) -> None:
+    def note_resignation(
+        self, name: str, *, version: int, last_action_age_s: float
+    ) -> None:
         """Record that the holder of a version has stopped acting."""
         known = self._resignations.get(name)
         if known is None or known.version < version:
             last_action_s = self._clock.monotonic_s() - last_action_age_s
-            self._resignations[name] = Resignation(version=version, last_action_s=last_action_s)
+            self._resignations[name] = Resignation(
+                version=version, last_action_s=last_action_s
+            )
 
     def resign(self, name: str) -> int:
         """Stop acting as the holder; return the resigned version, or 0.
@@ -125,7 +129,9 @@
         row.version, row.holder = version, self._me
         row.term, row.direct_handovers = divmod(fence + 1, FENCES_PER_TERM)
         row.held_until_s = row.checked_at_s = now_s
-        row.earliest_act_s = now_s - last_action_age_s + max(pause_s, self.policy.handover_s)
+        row.earliest_act_s = (
+            now_s - last_action_age_s + max(pause_s, self.policy.handover_s)
+        )
         return True
 
     def own_lease_expired(self, name: str) -> bool:
--- a/src/rosepath/limits.py
+++ b/src/rosepath/limits.py
@@ -70,7 +70,7 @@
         row.bucket.burst = max(1.0, rate_per_s * RATE_WINDOW_S)
 
 
-def applying(rows: Iterable[LimitRow], caller: str, target: str) -> list[LimitRow]:
+def matching_limits(rows: Iterable[LimitRow], caller: str, target: str) -> list[LimitRow]:
     """Return the limits that apply to a request."""
     return [
         row
@@ -87,7 +87,7 @@
     retry_after_s: float
 
 
-def take_rates(rows: Iterable[LimitRow], *, now_s: float) -> RateRefusal | None:
+def take_rate_tokens(rows: Iterable[LimitRow], *, now_s: float) -> RateRefusal | None:
     """Take one token of each rate limit, or return the limit that has none."""
     for row in rows:
         if row.limit.rate_per_s is None:
--- a/src/rosepath/node.py
+++ b/src/rosepath/node.py
@@ -115,7 +115,7 @@
         self.admission = Admission(
             clock=self.clock,
             borrow=self.lending.borrow,
-            give_back=self.lending.give_back,
+            return_slot=self.lending.return_slot,
         )
         placement = settings.placement
         self.leases = LeaseKeeper(
--- a/src/rosepath/order_dispatcher.py
+++ b/src/rosepath/order_dispatcher.py
@@ -197,7 +197,9 @@
         # An engine that reports an order in progress (an adapter, or an order
         # of a previous holder) is polled until it is idle. Swaps poll by
         # themselves.
-        due = not record.swap_in_progress and (record.engine_busy or not record.is_current)
+        due = not record.swap_in_progress and (
+            record.engine_busy or not record.is_current
+        )
         if (
             due
             and not server.in_backoff(now_s)
@@ -272,7 +274,8 @@
         # other order meanwhile: requests for other adapters there would wait
         # as long.
         keep_s = (
-            ADAPTER_KEEP_MIN_S + ADAPTER_KEEP_INTERVALS * self._ports.peer_update_interval_s()
+            ADAPTER_KEEP_MIN_S
+            + ADAPTER_KEEP_INTERVALS * self._ports.peer_update_interval_s()
         )
         in_use = server.targets_in_use
         idle = [
--- a/src/rosepath/peer_link.py
+++ b/src/rosepath/peer_link.py
@@ -8,8 +8,8 @@
 
 from rosepath.clock import Clock
 from rosepath.peer_messages import (
-    AdapterRequest,
     AdapterReply,
+    AdapterRequest,
     ForwardedState,
     Message,
     PeerState,
@@ -143,7 +143,9 @@
         for peer in self._table.state_recipients(holding=state.term > 0, rng=self._rng):
             self._send_data(data, peer.address)
 
-    async def ask(self, request: AdapterRequest, address: str, *, limit_s: float) -> bool:
+    async def ask(
+        self, request: AdapterRequest, address: str, *, limit_s: float
+    ) -> bool:
         """Send an adapter request; False if refused or unanswered in time."""
         future: asyncio.Future[bool] = asyncio.get_running_loop().create_future()
         self._pending_replies[request.adapter_request_id] = future
@@ -164,7 +166,10 @@
         try:
             ready = await self._on_ask(request)
             self._send(
-                AdapterReply(adapter_request_id=request.adapter_request_id, ready=ready), request.reply_to
+                AdapterReply(
+                    adapter_request_id=request.adapter_request_id, ready=ready
+                ),
+                request.reply_to,
             )
         finally:
             self._requests_in_progress.discard(request.adapter_request_id)
--- a/src/rosepath/peer_messages.py
+++ b/src/rosepath/peer_messages.py
@@ -6,7 +6,7 @@
 from dataclasses import dataclass, field, replace
 from typing import Any, NamedTuple
 
-from rosepath.crash_records import CrashReport, Exposure, ServerLife
+from rosepath.crash_records import CrashReport, Exposure, ServerInstance
 from rosepath.demand import ModelDemand
 from rosepath.fleet import LeavingServer, PeerLoad
 from rosepath.model_arrivals import ModelArrival
@@ -166,7 +166,9 @@
             head, _, payload = data[1:].partition(b"\n")
             raw = json.loads(head)
             to = tuple(map(str, raw["to"]))
-            return ForwardedState(payload=payload, forward_to=to, delay_s=float(raw["l"]))
+            return ForwardedState(
+                payload=payload, forward_to=to, delay_s=float(raw["l"])
+            )
         if data[:1] == ZLIB_MARK:
             data = zlib.decompress(data)
         raw = json.loads(data)
@@ -183,13 +185,17 @@
                     adapter=str(raw["a"]),
                 )
             case "reply":
-                return AdapterReply(adapter_request_id=str(raw["id"]), ready=bool(raw["ok"]))
+                return AdapterReply(
+                    adapter_request_id=str(raw["id"]), ready=bool(raw["ok"])
+                )
     except (ValueError, KeyError, TypeError, IndexError, zlib.error):
         return None
     return None
 
 
-def _encode_fields(message: PeerState | AdapterRequest | AdapterReply) -> dict[str, Any]:
+def _encode_fields(
+    message: PeerState | AdapterRequest | AdapterReply,
+) -> dict[str, Any]:
     if isinstance(message, AdapterRequest):
         return {
             "t": "ask",
@@ -238,7 +244,10 @@
             }
             for service, models in message.demand.items()
         },
-        "a": [[*arrival[:2], round(arrival.arrives_in_s, 2)] for arrival in message.arrivals],
+        "a": [
+            [*arrival[:2], round(arrival.arrives_in_s, 2)]
+            for arrival in message.arrivals
+        ],
         "g": [list(server) for server in message.leaving],
         "d": list(message.down),
         "u": list(message.occupied),
@@ -247,7 +256,7 @@
             for move in message.moves
         ],
         "cr": [
-            [report.content_key, *report.life, int(report.exposure)]
+            [report.content_key, *report.instance, int(report.exposure)]
             for report in message.crashes
         ],
         "cl": list(message.cleared),
@@ -300,12 +309,14 @@
         down=tuple(map(str, raw["d"])),
         occupied=tuple(map(str, raw["u"])),
         moves=tuple(
-            ResidencyChange(int(row[0]), str(row[1]), str(row[2]), str(row[3]), bool(row[4]))
+            ResidencyChange(
+                int(row[0]), str(row[1]), str(row[2]), str(row[3]), bool(row[4])
+            )
             for row in raw["m"]
         ),
         crashes=tuple(
             CrashReport(
-                str(row[0]), ServerLife(str(row[1]), int(row[2])), Exposure(int(row[3]))
+                str(row[0]), ServerInstance(str(row[1]), int(row[2])), Exposure(int(row[3]))
             )
             for row in raw["cr"]
         ),
--- a/src/rosepath/placement_coordinator.py
+++ b/src/rosepath/placement_coordinator.py
@@ -97,7 +97,9 @@
             fleet=fleet,
             caches=caches,
             changed=changed,
-            send_state=ThrottledCall(self._send_state, interval_s=self._move_interval_s).ask,
+            send_state=ThrottledCall(
+                self._send_state, interval_s=self._move_interval_s
+            ).ask,
         )
         self._arrivals = ModelArrivals()
         self._was_holder = False
@@ -217,7 +219,9 @@
         """Count a request that arrived for a model."""
         self.demand.ask(service, prompt, now_s=self._clock.monotonic_s())
 
-    def note_prefill_work(self, service: str, prompt: Prompt, *, unread_tokens: int) -> None:
+    def note_prefill_work(
+        self, service: str, prompt: Prompt, *, unread_tokens: int
+    ) -> None:
         """Add the prompt tokens that an engine must read for a request."""
         self.demand.note(
             service,
@@ -258,7 +262,9 @@
 
     async def renew_or_acquire_lease(self) -> None:
         """Renew the lease, or try to acquire it if its holder is silent."""
-        last_message_s = max(self._holder_silent_since_s, self._peers.holder_message_at_s)
+        last_message_s = max(
+            self._holder_silent_since_s, self._peers.holder_message_at_s
+        )
         silent_s = self._clock.monotonic_s() - last_message_s
         # The first read is immediate: a holder that was killed and restarted
         # finds its own lease and need not wait for it to expire.
--- a/src/rosepath/platform/calls.py
+++ b/src/rosepath/platform/calls.py
@@ -5,7 +5,7 @@
 
 from tornado.httputil import HTTPHeaders
 
-from rosepath.caller_call import BadRequestError, CallerCall, Prompt, PromptPart
+from rosepath.caller_call import BadRequestError, CallerRequest, Prompt, PromptPart
 from rosepath.retry_after import read_retry_after_s
 from rosepath.server_notice import NO_NOTICE, ServerNotice
 
@@ -88,12 +88,12 @@
     headers: HTTPHeaders,
     body: bytes,
     arrived_s: float,
-) -> CallerCall:
+) -> CallerRequest:
     """Decode a caller's request; raises BadRequestError."""
     request_id = headers.get(_ID, "")
     if not request_id:
         raise BadRequestError("the request has no id")
-    return CallerCall(
+    return CallerRequest(
         request_id=request_id,
         method=method,
         path=path,
@@ -109,7 +109,7 @@
 
 
 def encode_headers(
-    call: CallerCall,
+    call: CallerRequest,
     *,
     server: str,
     left_s: float,
@@ -128,7 +128,7 @@
     return headers
 
 
-def belongs_to(call: CallerCall, headers: HTTPHeaders) -> bool:
+def belongs_to(call: CallerRequest, headers: HTTPHeaders) -> bool:
     """Tell whether an answer is to this request, by the id that it echoes."""
     return headers.get(_ID, call.request_id) == call.request_id
 
--- a/src/rosepath/platform/store.py
+++ b/src/rosepath/platform/store.py
@@ -91,7 +91,9 @@
         while True:
             query = f"?{urlencode({'after': after})}" if after else ""
             path = f"{_PATH}{kind}{query}"
-            _, raw = await self._read("list", path, fresh=fresh, on_response_start=on_response_start)
+            _, raw = await self._read(
+                "list", path, fresh=fresh, on_response_start=on_response_start
+            )
             for item in raw["items"]:
                 after = item["metadata"]["name"]
                 name = f"{kind}/{after}"
@@ -121,7 +123,9 @@
             asked["isStale"] = 1
         path = f"{_PATH}{kind}?{urlencode(asked)}"
         what = "relaxed_watch" if relaxed else "watch"
-        head, raw = await self._read(what, path, wait_s=wait_s, on_response_start=on_response_start)
+        head, raw = await self._read(
+            what, path, wait_s=wait_s, on_response_start=on_response_start
+        )
         if head.status == 410:
             raise HistoryGoneError(kind, step=Step.STORE, peer=self._access.address)
         written: dict[str, StoredObject] = {}
@@ -196,7 +200,10 @@
         method, path = request.method, request.path
         try:
             head, answer = await self._exchange(
-                request, limit_s=limit_s, pause_s=pause_s, on_response_start=on_response_start
+                request,
+                limit_s=limit_s,
+                pause_s=pause_s,
+                on_response_start=on_response_start,
             )
             if head.status == 409:
                 raise ConflictError(path, step=Step.STORE, peer=self._access.address)
--- a/src/rosepath/relay.py
+++ b/src/rosepath/relay.py
@@ -7,10 +7,10 @@
 
 from tornado.httputil import HTTPHeaders
 
-from rosepath.attempt import ServerResponse, AttemptError, AttemptOptions
-from rosepath.caller_call import BadRequestError, CallerCall
+from rosepath.attempt import AttemptError, AttemptOptions, ServerResponse
+from rosepath.caller_call import BadRequestError, CallerRequest
 from rosepath.catalog import HostRoute, RouteKind
-from rosepath.crash_watch import life_of
+from rosepath.crash_watch import instance_of
 from rosepath.errors import Refusal, RefusalError, Run, Step, refuse
 from rosepath.event_sequence import EventSequence
 from rosepath.fleet import BackendServer, InFlightRequest
@@ -24,14 +24,14 @@
 from rosepath.server_choice import (
     note_answer,
     note_backoff,
+    note_connect_failure,
     note_error,
     note_failure,
     note_success,
-    note_connect_failure,
 )
 from rosepath.server_notice import ServerNotice
 from rosepath.server_picker import ServerPicker
-from rosepath.suspects import Suspects, lost_run_fields
+from rosepath.suspects import SuspectTracker, lost_run_fields
 
 # Subtracted from each deadline: the caller's clock may run 3 ms ahead of this
 # VM's, and a response that arrives after the caller's deadline is discarded.
@@ -53,7 +53,7 @@
 
     def __init__(self, ports: RelayPorts) -> None:
         self._ports = ports
-        self._suspects = Suspects(ports.crashes, clock=ports.clock)
+        self._suspects = SuspectTracker(ports.crashes, clock=ports.clock)
         self._picker = ServerPicker(ports, self._suspects)
         self._retry_policy = RetryPolicy(ports, self._picker)
 
@@ -86,7 +86,7 @@
             self._suspects.end(context)
 
     async def _create_context(
-        self, call: CallerCall, exchange: CallerExchange
+        self, call: CallerRequest, exchange: CallerExchange
     ) -> RequestContext:
         if self._find_route(call) is None and self._ports.configuration().behind:
             await self._wait_for_route(call)
@@ -126,13 +126,13 @@
             else None,
         )
 
-    def _find_route(self, call: CallerCall) -> HostRoute | None:
+    def _find_route(self, call: CallerRequest) -> HostRoute | None:
         catalog = self._ports.catalog()
         if catalog is None:
             return None
         return catalog.find(call.host, call.path.partition("?")[0])
 
-    async def _wait_for_route(self, call: CallerCall) -> None:
+    async def _wait_for_route(self, call: CallerRequest) -> None:
         """Wait briefly for a configuration that has the request's route."""
         with suppress(TimeoutError):
             async with (
@@ -299,7 +299,7 @@
         if error.evidence is Evidence.NOT_SENT:
             note_connect_failure(server, now_s=now_s)
             if error.step is Step.CONNECT and not error.timed_out:
-                self._ports.crashes.note_crashed(life_of(server))
+                self._ports.crashes.note_crashed(instance_of(server))
         if error.evidence is not Evidence.REFUSED:
             silent = error.timed_out or error.evidence is Evidence.NOT_SENT
             note_failure(server, now_s=now_s, silent=silent)
--- a/src/rosepath/request_context.py
+++ b/src/rosepath/request_context.py
@@ -8,7 +8,7 @@
 from typing import Protocol
 
 from rosepath.attempt import AttemptSender
-from rosepath.caller_call import CallerCall, Prompt
+from rosepath.caller_call import CallerRequest, Prompt
 from rosepath.catalog import Catalog, HostRoute, ServiceSpec
 from rosepath.clock import Clock
 from rosepath.configuration_view import UNKNOWN_CONFIGURATION, ConfigurationView
@@ -83,7 +83,7 @@
 class RequestContext:
     """Hold the state of a request across its attempts."""
 
-    call: CallerCall
+    call: CallerRequest
     route: HostRoute
     service: ServiceSpec
     exchange: CallerExchange
@@ -130,7 +130,9 @@
     @property
     def sent_count(self) -> int:
         """Return the number of attempts that reached a server."""
-        return sum(evidence is not Evidence.NOT_SENT for evidence in self.attempt_evidence)
+        return sum(
+            evidence is not Evidence.NOT_SENT for evidence in self.attempt_evidence
+        )
 
     @property
     def not_run(self) -> bool:
--- a/src/rosepath/request_records.py
+++ b/src/rosepath/request_records.py
@@ -8,7 +8,7 @@
 _log = get_logger()
 
 
-class RequestRecords:
+class RequestRecorder:
     """Write the log line and the metrics of each finished request."""
 
     def __init__(self, metrics: EntryMetrics, *, clock: Clock) -> None:
@@ -20,7 +20,9 @@
         kind = context.route.kind.value
         self._metrics.count("requests", kind=kind, status=str(status), code=code)
         if context.attempt_evidence:
-            self._metrics.count("tries_failed", kind=kind, last=context.attempt_evidence[-1].value)
+            self._metrics.count(
+                "tries_failed", kind=kind, last=context.attempt_evidence[-1].value
+            )
         call, arrived_s = context.call, context.call.arrived_s
         first_s = context.first_event_s
         took_s = self._clock.monotonic_s() - arrived_s
--- a/src/rosepath/retry_policy.py
+++ b/src/rosepath/retry_policy.py
@@ -90,7 +90,7 @@
                 begun=context.exchange.begun,
                 check_after_s=self.stall_timeout_s(context),
                 duration_s=now_s - context.last_event_s,
-                caller_timeout_s=route.event_patience_s,
+                caller_timeout_s=route.event_timeout_s,
                 server_idle_s=server.moved_ago_s(now_s),
                 capacity_elsewhere=self._picker.has_capacity_elsewhere(context, server),
             ),
--- a/src/rosepath/server_picker.py
+++ b/src/rosepath/server_picker.py
@@ -20,7 +20,7 @@
 from rosepath.model_arrivals import WaitDecision, choose_wait
 from rosepath.request_context import RETRY_AFTER_S, RelayPorts, RequestContext
 from rosepath.server_choice import choose_server, healthy_servers
-from rosepath.suspects import Suspects
+from rosepath.suspects import SuspectTracker
 
 # How long a request to a service without engines waits for a server before it
 # is refused.
@@ -41,17 +41,21 @@
 class ServerPicker:
     """Choose servers, load adapters and count waiting requests as demand."""
 
-    def __init__(self, ports: RelayPorts, suspects: Suspects) -> None:
+    def __init__(self, ports: RelayPorts, suspects: SuspectTracker) -> None:
         self._ports = ports
         self._suspects = suspects
 
-    async def choose(self, context: RequestContext) -> tuple[BackendServer, InFlightRequest]:
+    async def choose(
+        self, context: RequestContext
+    ) -> tuple[BackendServer, InFlightRequest]:
         """Choose a server, waiting up to a limit if there is none."""
         started_s = self._now_s()
         wait_until_s = self._wait_limit_s(context, started_s)
         if context.service.engine is not None:
             if context.call.prompt is not None and not context.attempt_evidence:
-                self._ports.models.note_request_received(context.service.name, context.call.prompt)
+                self._ports.models.note_request_received(
+                    context.service.name, context.call.prompt
+                )
         with self._counted_waiting(context) as count_waiting:
             return await self._choose_until(
                 context, started_s, wait_until_s, count_waiting
@@ -69,7 +73,7 @@
             return context.deadline_s
         if context.service.engine is None:
             return min(started_s + NO_SERVER_WAIT_S, context.deadline_s)
-        patience_s = min(context.route.event_patience_s, context.route.timeout_s)
+        patience_s = min(context.route.event_timeout_s, context.route.timeout_s)
         left_s = MAX_WAIT_SHARE * patience_s
         return min(context.call.arrived_s + left_s, context.deadline_s)
 
@@ -264,7 +268,9 @@
             rejected.add(choice.server.name)
         return None
 
-    def has_capacity_elsewhere(self, context: RequestContext, server: BackendServer) -> bool:
+    def has_capacity_elsewhere(
+        self, context: RequestContext, server: BackendServer
+    ) -> bool:
         """Return whether another server has capacity for a request."""
         ports, now_s = self._ports, self._now_s()
         prompt, spec = context.call.prompt, context.service.engine
--- a/src/rosepath/slot_lending.py
+++ b/src/rosepath/slot_lending.py
@@ -44,13 +44,13 @@
                 )
             except CALL_FAILURES:
                 # The lender may have granted the slot and the reply was lost.
-                asyncio.ensure_future(self.give_back(name, limit, request_id))
+                asyncio.ensure_future(self.return_slot(name, limit, request_id))
                 continue
             if reply.granted:
                 return name
         return None
 
-    async def give_back(self, lender: str, limit: str, request_id: str) -> None:
+    async def return_slot(self, lender: str, limit: str, request_id: str) -> None:
         """Return a slot, retrying until the lender confirms or is dead."""
         while (member := self._tables.entry_vms.get(lender)) is not None:
             if member.state is MemberState.DEAD:
--- a/src/rosepath/store_pace.py
+++ b/src/rosepath/store_pace.py
@@ -76,7 +76,8 @@
         """Return how long a watch may wait that no messages replace."""
         messages_s = MESSAGE_INTERVALS * self.message_interval_s
         recent_s = max(
-            self.staleness_limit_s * WAIT_MIN_SHARE, self.staleness_limit_s - READ_TIME_S - messages_s
+            self.staleness_limit_s * WAIT_MIN_SHARE,
+            self.staleness_limit_s - READ_TIME_S - messages_s,
         )
         return min(WAIT_SHARE * self.staleness_limit_s, recent_s)
 
--- a/src/rosepath/suspects.py
+++ b/src/rosepath/suspects.py
@@ -2,7 +2,7 @@
 
 from typing import Any
 
-from rosepath.attempt import ServerResponse, AttemptError
+from rosepath.attempt import AttemptError, ServerResponse
 from rosepath.clock import Clock
 from rosepath.crash_records import Exposure, Suspicion
 from rosepath.crash_watch import CrashWatch, LostRun
@@ -12,7 +12,7 @@
 from rosepath.retries import Evidence
 
 
-class Suspects:
+class SuspectTracker:
     """Look up requests in the crash records and report the outcome of runs.
 
     The server picker uses it to choose servers, the relay to report outcomes.
@@ -40,7 +40,7 @@
         if suspicion is not Suspicion.SUSPECT:
             return None
         request_id = context.call.request_id
-        if not self._crashes.may_go(context.content_key, request_id=request_id):
+        if not self._crashes.may_send_isolated(context.content_key, request_id=request_id):
             return None
         return self._crashes.isolated.servers(now_s=self._clock.monotonic_s())
 
@@ -63,9 +63,9 @@
         event from this server.
         """
         now_s = self._clock.monotonic_s()
-        if flight.begun_s is None:
-            flight.begun_s = now_s
-        elif flight.isolated and now_s - flight.begun_s > ISOLATION_S:
+        if flight.first_event_s is None:
+            flight.first_event_s = now_s
+        elif flight.isolated and now_s - flight.first_event_s > ISOLATION_S:
             ended = self._crashes.end_isolation(
                 context.content_key, request_id=context.call.request_id
             )
@@ -108,7 +108,7 @@
         self, context: RequestContext, flight: InFlightRequest, error: AttemptError
     ) -> LostRun:
         now_s = self._clock.monotonic_s()
-        ran_long = flight.begun_s is not None and now_s - flight.begun_s > ISOLATION_S
+        ran_long = flight.first_event_s is not None and now_s - flight.first_event_s > ISOLATION_S
         starting = error.answered and not ran_long
         exposure = Exposure.STARTING if starting else Exposure.PRESENT
         return LostRun(
--- a/tests/entry_builders.py
+++ b/tests/entry_builders.py
@@ -3,7 +3,7 @@
 from collections.abc import Mapping
 from typing import Any
 
-from rosepath.caller_call import CallerCall, Prompt, PromptPart
+from rosepath.caller_call import CallerRequest, Prompt, PromptPart
 from rosepath.catalog import (
     CallerLimits,
     Catalog,
@@ -23,7 +23,7 @@
 from rosepath.peer_messages import PeerState
 from rosepath.request_context import RelayPorts
 from rosepath.server_picker import ServerPicker
-from rosepath.suspects import Suspects
+from rosepath.suspects import SuspectTracker
 
 
 def a_model(name: str, *, size_mb: float = 70_000.0) -> ModelSpec:
@@ -154,8 +154,8 @@
     arrived_s: float = 0.0,
     wait_s: float | None = 5.0,
     prompt: Prompt | None = None,
-) -> CallerCall:
-    return CallerCall(
+) -> CallerRequest:
+    return CallerRequest(
         request_id=request_id,
         method=method,
         path=path,
@@ -187,7 +187,9 @@
         age_s=dict.fromkeys(models, 100.0),
         in_use=in_use or {},
         accepts_orders=accepts_orders,
-        local_load_s={"m0": 0.8, "m1": 0.8, "m2": 0.8, "m3": 0.8} if local_load_s is None else local_load_s,
+        local_load_s={"m0": 0.8, "m1": 0.8, "m2": 0.8, "m3": 0.8}
+        if local_load_s is None
+        else local_load_s,
     )
 
 
@@ -197,11 +199,11 @@
     async def probe(address: str, *, limit_s: float) -> Contact:
         return contact
 
-    return CrashWatch("vm-1", clock=clock, probe=probe, on_news=lambda: None)
+    return CrashWatch("vm-1", clock=clock, probe=probe, on_change=lambda: None)
 
 
 def a_picker(ports: RelayPorts) -> ServerPicker:
-    return ServerPicker(ports, Suspects(ports.crashes, clock=ports.clock))
+    return ServerPicker(ports, SuspectTracker(ports.crashes, clock=ports.clock))
 
 
 def a_peer_state(
--- a/tests/store_view.py
+++ b/tests/store_view.py
@@ -74,7 +74,9 @@
             self.connected_s = now_s()
         connected_s, self.connected_s = self.connected_s, -1.0
         late_s = RELAXED_LATE_S if relaxed else 0.0
-        change = await self._changes(kind, after, wait_s, connected_s, late_s, on_response_start)
+        change = await self._changes(
+            kind, after, wait_s, connected_s, late_s, on_response_start
+        )
         self.connected_s = connected_s
         return change
 
--- a/tests/test_crash_records.py
+++ b/tests/test_crash_records.py
@@ -13,7 +13,7 @@
     CrashRecords,
     CrashReport,
     Exposure,
-    ServerLife,
+    ServerInstance,
     Suspicion,
 )
 
@@ -25,7 +25,7 @@
     exposure: Exposure = Exposure.STARTING,
     born_ms: int = 1,
 ) -> CrashReport:
-    return CrashReport(content, ServerLife(server, born_ms), exposure)
+    return CrashReport(content, ServerInstance(server, born_ms), exposure)
 
 
 def records_of(*reports: CrashReport, clock: ManualClock | None = None) -> CrashRecords:
--- a/tests/test_crash_watch.py
+++ b/tests/test_crash_watch.py
@@ -7,7 +7,7 @@
 
 from rosepath.clock import ManualClock
 from rosepath.crash_records import Exposure, Suspicion
-from rosepath.crash_watch import LOST_RUN_TTL_S, CrashWatch, LostRun, life_of
+from rosepath.crash_watch import LOST_RUN_TTL_S, CrashWatch, LostRun, instance_of
 from rosepath.fleet import BackendServer
 from rosepath.http_client import Contact
 
@@ -43,7 +43,7 @@
 
 
 def crashed(watch: CrashWatch, server: BackendServer, _: ManualClock) -> None:
-    watch.note_crashed(life_of(server))
+    watch.note_crashed(instance_of(server))
 
 
 def crashed_much_later(
@@ -101,7 +101,7 @@
             await asyncio.sleep(0)
             return Contact.REFUSED
 
-        watch = CrashWatch("vm-1", clock=clock, probe=probe, on_news=lambda: None)
+        watch = CrashWatch("vm-1", clock=clock, probe=probe, on_change=lambda: None)
         lost = [a_run(clock, request_id=f"q{number}") for number in range(20)]
         await asyncio.gather(*(watch.note_lost(server, one) for one in lost))
         return probes
--- a/tests/test_crashing_requests.py
+++ b/tests/test_crashing_requests.py
@@ -29,7 +29,7 @@
     CrashRecords,
     CrashReport,
     Exposure,
-    ServerLife,
+    ServerInstance,
     Suspicion,
 )
 from rosepath.lease_keeper import LeaseKeeper
@@ -199,7 +199,7 @@
         keeper, records = a_keeper("a")
         await keeper.step("l", wanted=True)
         for server in ("s1", "s2", "s3"):
-            records.add(CrashReport("bad", ServerLife(server), Exposure.ISOLATED))
+            records.add(CrashReport("bad", ServerInstance(server), Exposure.ISOLATED))
         clock.advance(2.6)
         await keeper.step("l", wanted=True)
         for name in ("b", "c"):
--- a/tests/test_engine_choice.py
+++ b/tests/test_engine_choice.py
@@ -54,7 +54,9 @@
     for number in range(2):
         flight = InFlightRequest(target=f"m0/a{number}")
         fleet.servers["e1"].in_flight_requests[f"q{number}"] = flight
-    fleet.servers["e2"].in_flight_requests["q9"] = InFlightRequest(unread_tokens=9_000, target="m0")
+    fleet.servers["e2"].in_flight_requests["q9"] = InFlightRequest(
+        unread_tokens=9_000, target="m0"
+    )
     choice = choose(fleet, a_prompt(adapter="a7"))
     assert choice is not None and choice.server.name == "e2"
 
--- a/tests/test_engine_plan.py
+++ b/tests/test_engine_plan.py
@@ -241,8 +241,12 @@
     # Every declared model must stay reachable, whatever its load costs.
     models = MODELS | {"x": replace(a_model("x", size_mb=size_mb), load_s=load_s)}
     engines = [
-        an_engine_view("e1", "m0", "m1", local_load_s={}, in_use={"m0": running, "m1": 1}),
-        an_engine_view("e2", "m2", "m3", local_load_s={}, in_use={"m2": 2, "m3": running}),
+        an_engine_view(
+            "e1", "m0", "m1", local_load_s={}, in_use={"m0": running, "m1": 1}
+        ),
+        an_engine_view(
+            "e2", "m2", "m3", local_load_s={}, in_use={"m2": 2, "m3": running}
+        ),
     ]
     demands = {
         f"m{number}": ModelDemand(load, 0, requests_per_s=10 * load)
--- a/tests/test_engine_strain.py
+++ b/tests/test_engine_strain.py
@@ -18,11 +18,15 @@
 
 
 def decode_heavy(per_s: float) -> Workload:
-    return Workload(prefill_share=0.014 * per_s, requests_per_s=per_s, running=1.5 * per_s)
+    return Workload(
+        prefill_share=0.014 * per_s, requests_per_s=per_s, running=1.5 * per_s
+    )
 
 
 def prefill_heavy(per_s: float) -> Workload:
-    return Workload(prefill_share=0.125 * per_s, requests_per_s=per_s, running=0.4 * per_s)
+    return Workload(
+        prefill_share=0.125 * per_s, requests_per_s=per_s, running=0.4 * per_s
+    )
 
 
 def test_prompt_bursts_stall_long_streams_on_a_lightly_used_engine() -> None:
--- a/tests/test_entry_node.py
+++ b/tests/test_entry_node.py
@@ -69,10 +69,14 @@
     for number in range(40):
         node.peers.note_address(f"vm-{number}", f"10.0.0.1:{number}")
     feed, staleness_limit_s = node.tables.catalog_watcher, 3.0
-    other_s = catalog_watch_policy(node._watch_conditions(feed, staleness_limit_s)).wait_s
+    other_s = catalog_watch_policy(
+        node._watch_conditions(feed, staleness_limit_s)
+    ).wait_s
     node.coordinator.leases.valid = lambda *_, **__: True  # type: ignore[method-assign]
     node.coordinator.leases.fence = lambda _: 1  # type: ignore[method-assign]
-    holder_s = catalog_watch_policy(node._watch_conditions(feed, staleness_limit_s)).wait_s
+    holder_s = catalog_watch_policy(
+        node._watch_conditions(feed, staleness_limit_s)
+    ).wait_s
     assert holder_s < other_s == WAIT_SHARE * staleness_limit_s
 
 
--- a/tests/test_fleet_words.py
+++ b/tests/test_fleet_words.py
@@ -51,7 +51,8 @@
                 ),
                 holder_sent=world.sent[world.holder],
                 oldest_s=max(
-                    node.tables.servers_watcher.age.age_s for node in world.nodes.values()
+                    node.tables.servers_watcher.age.age_s
+                    for node in world.nodes.values()
                 ),
             )
         )
--- a/tests/test_idle_connections.py
+++ b/tests/test_idle_connections.py
@@ -34,7 +34,7 @@
         assert isinstance(loop, SteppedLoop)
         route = a_route(kind=RouteKind.IDEMPOTENT, service="desk", resumable=False)
         async with entry(Scripted("s1", answers), route=route) as node:
-            node.gateway.limit(CallerLimits(idle_timeout_s=IDLE_S))
+            node.gateway.apply_limits(CallerLimits(idle_timeout_s=IDLE_S))
             await course(loop, node)
 
     with asyncio.Runner(loop_factory=SteppedLoop) as runner:
--- a/tests/test_isolation.py
+++ b/tests/test_isolation.py
@@ -7,7 +7,7 @@
 from fakes import FakePlatform
 
 from rosepath.clock import ManualClock
-from rosepath.isolation import Isolation
+from rosepath.isolation import DataCentreIsolation
 from rosepath.peer_table import PeerTable
 
 
@@ -23,7 +23,7 @@
     async def run() -> None:
         clock, store = ManualClock(), FakePlatform()
         peers = PeerTable("vm-x", clock=clock)
-        isolation = Isolation("a", peers=peers, store=store, probe="vms/vm-x")
+        isolation = DataCentreIsolation("a", peers=peers, store=store, probe="vms/vm-x")
         receive_states(peers, "b", "c")
         store.down = True
         await isolation.step()
@@ -44,7 +44,7 @@
     async def run() -> None:
         clock, store = ManualClock(), FakePlatform()
         peers = PeerTable("vm-x", clock=clock)
-        isolation = Isolation("a", peers=peers, store=store, probe="vms/vm-x")
+        isolation = DataCentreIsolation("a", peers=peers, store=store, probe="vms/vm-x")
         receive_states(peers, "b", "c")
         clock.advance(1.0)
         await isolation.step()
@@ -58,7 +58,7 @@
         clock, store = ManualClock(), FakePlatform()
         store.down = True
         peers = PeerTable("vm-x", clock=clock)
-        isolation = Isolation("a", peers=peers, store=store, probe="vms/vm-x")
+        isolation = DataCentreIsolation("a", peers=peers, store=store, probe="vms/vm-x")
         receive_states(peers, "b")
         # A stopping VM of a third data centre does not count.
         state = a_peer_state("vm-c", data_centre="c")
--- a/tests/test_late_calls.py
+++ b/tests/test_late_calls.py
@@ -14,7 +14,9 @@
 T = TypeVar("T")
 
 
-async def ask(call: Callable[[OnResponseStart], Awaitable[T]], *, max_concurrent: int = 2) -> T:
+async def ask(
+    call: Callable[[OnResponseStart], Awaitable[T]], *, max_concurrent: int = 2
+) -> T:
     return await first_response(
         call,
         slow_after_s=SLOW_AFTER_S,
--- a/tests/test_lease_backing.py
+++ b/tests/test_lease_backing.py
@@ -295,7 +295,9 @@
         holder.stopping = True
 
         async def finish(limit_s: float) -> None:
-            await run_nodes(nodes, clock, limit_s, sends_state=lambda node: node is holder)
+            await run_nodes(
+                nodes, clock, limit_s, sends_state=lambda node: node is holder
+            )
             assert not holder.coordinator.holds_lease
 
         holder.coordinator.orders.finish = finish  # type: ignore[method-assign]
@@ -354,7 +356,9 @@
         store.unreachable_from = set(NAMES)
         holder.stopping = True
         await holder.coordinator.release()
-        successor = next(n for n in nodes if n.name == holder.coordinator.handover.successor)
+        successor = next(
+            n for n in nodes if n.name == holder.coordinator.handover.successor
+        )
         lost = next(n for n in nodes if n not in (holder, successor))
         await run_nodes(nodes, clock, 4.0, sends_state=lambda node: node is not lost)
         assert not any(node.coordinator.holds_lease for node in nodes)
@@ -400,11 +404,16 @@
                 if node.stopping:
                     node.coordinator.orders.finish = (  # type: ignore[method-assign]
                         lambda _, silent=silent: run_nodes(
-                            nodes, clock, finish_s, sends_state=lambda n: n.name != silent
+                            nodes,
+                            clock,
+                            finish_s,
+                            sends_state=lambda n: n.name != silent,
                         )
                     )
                     await node.coordinator.release()
-            store.unreachable_from = set(NAMES) if unreachable == "all" else {unreachable}
+            store.unreachable_from = (
+                set(NAMES) if unreachable == "all" else {unreachable}
+            )
             await run_nodes(
                 nodes,
                 clock,
--- a/tests/test_lease_handover.py
+++ b/tests/test_lease_handover.py
@@ -55,7 +55,9 @@
                 )
                 ago_s = clock.monotonic_s() - acted.get(name, -1e9)
                 for other in keepers.values():
-                    other.note_resignation("l", version=version, last_action_age_s=ago_s)
+                    other.note_resignation(
+                        "l", version=version, last_action_age_s=ago_s
+                    )
             else:
                 await keeper.step("l", wanted=True)
             for other in keepers.values():
--- a/tests/test_leaves_untold.py
+++ b/tests/test_leaves_untold.py
@@ -4,7 +4,7 @@
 
 import pytest
 from fleet_world import World
-from test_leaving_servers import Size, entries, latest, sizes
+from test_leaving_servers import Size, entries, late_requests, sizes
 
 from rosepath.clock import ManualClock
 from rosepath.departure_log import RETENTION_S, DepartureLog
@@ -31,7 +31,7 @@
             world.start_again(holder, monkeypatch)
             await asyncio.sleep(14.0)
 
-    assert latest(monkeypatch, size, course, busy=busy) == []
+    assert late_requests(monkeypatch, size, course, busy=busy) == []
 
 
 @entries
@@ -48,7 +48,7 @@
             world.leave(f"i-{number}")
             await asyncio.sleep(5.0 + 0.07 * number)
 
-    assert latest(monkeypatch, size, course, servers=14, busy=busy) == []
+    assert late_requests(monkeypatch, size, course, servers=14, busy=busy) == []
 
 
 def test_a_new_departure_log_covers_no_time_before_its_start() -> None:
--- a/tests/test_leaving_servers.py
+++ b/tests/test_leaving_servers.py
@@ -24,7 +24,7 @@
 Scenario = Callable[[World], Awaitable[None]]
 
 
-def latest(
+def late_requests(
     monkeypatch: pytest.MonkeyPatch,
     size: Size,
     scenario: Scenario,
@@ -78,7 +78,7 @@
             world.take_back()
             await asyncio.sleep(6.0)
 
-    assert latest(monkeypatch, size, scenario, busy=busy) == []
+    assert late_requests(monkeypatch, size, scenario, busy=busy) == []
 
 
 @entries
@@ -96,7 +96,7 @@
             world.holder = f"vm-{number + 1}"
             await asyncio.sleep(5.0)
 
-    assert latest(monkeypatch, size, scenario, busy=busy, connect_s=0.3) == []
+    assert late_requests(monkeypatch, size, scenario, busy=busy, connect_s=0.3) == []
 
 
 @entries
@@ -114,7 +114,7 @@
             world.leave(f"i-{number}", says_so=True)
         await asyncio.sleep(10.0)
 
-    assert latest(monkeypatch, size, scenario, servers=30, busy=busy) == []
+    assert late_requests(monkeypatch, size, scenario, servers=30, busy=busy) == []
 
 
 @entries
@@ -141,7 +141,7 @@
             world.holder = f"vm-{number + 1}"
             await asyncio.sleep(5.0)
 
-    assert latest(monkeypatch, size, scenario, busy=busy) == []
+    assert late_requests(monkeypatch, size, scenario, busy=busy) == []
 
 
 @entries
@@ -160,7 +160,7 @@
             world.leave(f"i-{number}")
             await asyncio.sleep(7.3)
 
-    assert latest(monkeypatch, size, scenario, busy=busy) == []
+    assert late_requests(monkeypatch, size, scenario, busy=busy) == []
 
 
 def test_departures_while_a_connection_to_the_server_is_established(
@@ -177,7 +177,7 @@
             await asyncio.sleep(2.0)
 
     size = (4, 0.3, 3.0)
-    assert latest(monkeypatch, size, scenario, connect_s=0.38) == []
+    assert late_requests(monkeypatch, size, scenario, connect_s=0.38) == []
 
 
 async def inject_random_faults(world: World) -> None:
@@ -223,7 +223,7 @@
     monkeypatch: pytest.MonkeyPatch, size: Size, seed: int
 ) -> None:
     scenario = inject_random_faults
-    late = latest(
+    late = late_requests(
         monkeypatch, size, scenario, servers=48, busy=True, connect_s=0.1, seed=seed
     )
     assert late == []
@@ -236,7 +236,7 @@
     # In a large fleet, most VMs receive the lease holder's state messages
     # through a VM of their data centre, which may have failed, be disconnected
     # or lose the message.
-    late = latest(
+    late = late_requests(
         monkeypatch,
         (26, 3.0, 4.0),
         inject_random_faults,
--- a/tests/test_order_finish.py
+++ b/tests/test_order_finish.py
@@ -11,7 +11,7 @@
 
 from rosepath.caller_call import Prompt
 from rosepath.engine_orders import EngineReport, Order, OrderReply
-from rosepath.entry_node import BALANCER_NOTICES_S, EntryNode
+from rosepath.entry_node import BALANCER_DETECTION_S, EntryNode
 from rosepath.fleet import Fleet
 from rosepath.peer_table import PeerTable
 from rosepath.placement_coordinator import PlacementCoordinator
@@ -139,7 +139,7 @@
     engine = LeaseRecordingEngine("m0", "m2", busy_s=60.0)
 
     async def scenario(coordinator: PlacementCoordinator) -> None:
-        assert await release_after_unload(engine, coordinator) < BALANCER_NOTICES_S
+        assert await release_after_unload(engine, coordinator) < BALANCER_DETECTION_S
         assert {holder for _, holder, _ in engine.received} == {"vm-a"}
 
     run_scenario(engine, scenario)
@@ -203,7 +203,7 @@
         loop = asyncio.get_running_loop()
         started_s = loop.time()
         await node.stop()
-        assert loop.time() - started_s < BALANCER_NOTICES_S + 0.1
+        assert loop.time() - started_s < BALANCER_DETECTION_S + 0.1
 
     with asyncio.Runner(loop_factory=VirtualLoop) as runner:
         runner.run(run())
--- a/tests/test_peer_exchange.py
+++ b/tests/test_peer_exchange.py
@@ -8,7 +8,7 @@
 from test_store_tables import NoStore, listing, server, tables
 
 from rosepath.clock import ManualClock
-from rosepath.crash_records import CrashReport, Exposure, ServerLife, Suspicion
+from rosepath.crash_records import CrashReport, Exposure, ServerInstance, Suspicion
 from rosepath.object_store import Change
 from rosepath.peer_exchange import PeerExchange
 from rosepath.peer_table import PeerTable
@@ -149,17 +149,17 @@
         sent, received = holder._crashes, other._crashes
         now_s = other._clock.monotonic_s()
         for name in ("s1", "s2"):
-            report = CrashReport("suspect", ServerLife(name, 5), Exposure.STARTING)
+            report = CrashReport("suspect", ServerInstance(name, 5), Exposure.STARTING)
             sent.records.add(report)
         sent.records.quarantine("quarantined")
         sent.isolated.start("suspect", request_id="q1", server="i-2")
         holder.link.send_state()
         assert received.records.suspicion("quarantined") is Suspicion.QUARANTINED
         assert received.records.suspicion("suspect") is Suspicion.SUSPECT
-        assert not received.may_go("suspect", request_id="q2")
+        assert not received.may_send_isolated("suspect", request_id="q2")
         assert received.isolated.servers(now_s=now_s) == {"i-2"}
         sent.isolated.end("suspect", request_id="q1")
         holder.link.send_state()
-        assert received.may_go("suspect", request_id="q2")
+        assert received.may_send_isolated("suspect", request_id="q2")
 
     asyncio.run(run())
--- a/tests/test_peer_link.py
+++ b/tests/test_peer_link.py
@@ -50,7 +50,9 @@
     exchange, sent = a_link(clock, monkeypatch)
     exchange.link.note_running()
     clock.advance(0.15)
-    forwarded = ForwardedState(payload=encoded_state(), forward_to=("10.0.0.1:7", "10.0.0.2:7"))
+    forwarded = ForwardedState(
+        payload=encoded_state(), forward_to=("10.0.0.1:7", "10.0.0.2:7")
+    )
     exchange.link.datagram_received(encode(forwarded), ("", 0))
     expected = ForwardedState(payload=encoded_state(), delay_s=0.15)
     assert sent.messages == [
--- a/tests/test_peer_messages.py
+++ b/tests/test_peer_messages.py
@@ -10,11 +10,11 @@
 from rosepath.fleet import LeavingServer, PeerLoad
 from rosepath.model_arrivals import ModelArrival
 from rosepath.peer_messages import (
-    AdapterRequest,
     AdapterReply,
+    AdapterRequest,
     LeaseHandover,
-    ResidencyChange,
     PeerState,
+    ResidencyChange,
     decode,
     encode,
 )
@@ -46,7 +46,12 @@
         moves=(ResidencyChange(1, "e1", "m", "a1", True),),
     )
     ask = AdapterRequest(
-        adapter_request_id="1", reply_to="h:1", server="e", service="s", model="m", adapter="a"
+        adapter_request_id="1",
+        reply_to="h:1",
+        server="e",
+        service="s",
+        model="m",
+        adapter="a",
     )
     for message in (state, ask, AdapterReply(adapter_request_id="1", ready=True)):
         assert decode(encode(message)) == message
--- a/tests/test_planned_stop.py
+++ b/tests/test_planned_stop.py
@@ -114,7 +114,7 @@
         begun_s = loop.time()
 
         async def release() -> None:
-            await asyncio.sleep(entry_node.BALANCER_NOTICES_S + 1.0)
+            await asyncio.sleep(entry_node.BALANCER_DETECTION_S + 1.0)
 
         node.coordinator.release = release  # type: ignore[method-assign]
         node.gateway.close_idle = lambda: closed_s.append(  # type: ignore[method-assign]
@@ -122,12 +122,12 @@
         )
 
     took_s = stop(monkeypatch, scenario)
-    assert closed_s == [pytest.approx(entry_node.BALANCER_NOTICES_S)]
-    assert took_s >= entry_node.BALANCER_NOTICES_S + 1.0
+    assert closed_s == [pytest.approx(entry_node.BALANCER_DETECTION_S)]
+    assert took_s >= entry_node.BALANCER_DETECTION_S + 1.0
 
 
 def test_a_stop_without_requests_ends_once_the_balancer_has_detected_it(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     # Any further wait would prolong a restart of all VMs by that much each.
-    assert stop(monkeypatch) < entry_node.BALANCER_NOTICES_S + 0.2
+    assert stop(monkeypatch) < entry_node.BALANCER_DETECTION_S + 0.2
--- a/tests/test_relay.py
+++ b/tests/test_relay.py
@@ -25,7 +25,7 @@
 from rosepath.entry_metrics import EntryMetrics
 from rosepath.peer_messages import NEVER_S
 from rosepath.relay import MAX_LOGGED_CHARS
-from rosepath.request_records import RequestRecords
+from rosepath.request_records import RequestRecorder
 from rosepath.retry_policy import MAX_SENT_ATTEMPTS
 
 
@@ -357,7 +357,7 @@
         async with entry(route=patient) as node, asyncio.timeout(10):
             reader, writer = await node.connect()
             writer.write(request(generate()))
-            while not node.gateway.open:  # noqa: ASYNC110
+            while not node.gateway.serving:  # noqa: ASYNC110
                 await asyncio.sleep(0)
             node.wait_limit_s = 0.0
             head = await reader.readuntil(b"\r\n\r\n")
@@ -469,7 +469,7 @@
 def test_the_log_of_a_response_names_the_configuration_that_routed_it() -> None:
     # Otherwise it can't be determined whether an outdated configuration caused
     # a wrong response.
-    records = RequestRecords(EntryMetrics(), clock=SystemClock())
+    records = RequestRecorder(EntryMetrics(), clock=SystemClock())
 
     async def run() -> None:
         async with entry(
--- a/tests/test_retries.py
+++ b/tests/test_retries.py
@@ -9,8 +9,8 @@
     Obstacle,
     RetryBudget,
     Verdict,
-    find_obstacle,
     decide_retry,
+    find_obstacle,
     run_from_evidence,
     worst_evidence,
 )
--- a/tests/test_shares.py
+++ b/tests/test_shares.py
@@ -7,7 +7,7 @@
 from fakes import FakePlatform
 from hypothesis import given, settings, strategies as st
 
-from rosepath.limits import LimitRow, apply_limits, lend, take_rates
+from rosepath.limits import LimitRow, apply_limits, lend, take_rate_tokens
 from rosepath.share_keeper import LEDGER_NAME, ShareKeeper
 from rosepath.shares import UNITS, ShareLedger, allowance, decode_ledger, encode_ledger
 
@@ -130,12 +130,12 @@
 def test_a_node_without_units_admits_nothing() -> None:
     row = limit_rows(frozenset(), concurrency=5, rate_per_s=5)["l"]
     assert row.full
-    assert take_rates([row], now_s=0.0) is not None
+    assert take_rate_tokens([row], now_s=0.0) is not None
 
 
 def test_a_rate_bucket_starts_empty_so_that_a_transferred_share_is_not_used_twice() -> (
     None
 ):
     row = limit_rows(frozenset(range(UNITS)), rate_per_s=10)["l"]
-    allowed = sum(take_rates([row], now_s=n / 100) is None for n in range(101))
+    allowed = sum(take_rate_tokens([row], now_s=n / 100) is None for n in range(101))
     assert allowed <= 10
--- a/tests/test_silent_servers.py
+++ b/tests/test_silent_servers.py
@@ -218,7 +218,7 @@
         add(site, spare)
         await serving
         assert heard_whole(first)
-        patience_s = a_route().event_patience_s
+        patience_s = a_route().event_timeout_s
         assert spare.asked_at_s[0] - START_S - 0.3 < patience_s
 
     run(play)
--- a/tests/test_store_calls.py
+++ b/tests/test_store_calls.py
@@ -119,7 +119,9 @@
     play(lambda _: (), run)
 
 
-def a_feed(taken_s: dict[int, float], *, pace: Callable[[], WatchPolicy] = WatchPolicy) -> StoreWatcher:
+def a_feed(
+    taken_s: dict[int, float], *, pace: Callable[[], WatchPolicy] = WatchPolicy
+) -> StoreWatcher:
     """Build a feed that records when it received each revision."""
 
     def take(change: Any) -> None:
@@ -175,7 +177,9 @@
 
 
 def follow_a_slow_answer(
-    course: Callable[[StoreWatcher], None], *, pace: Callable[[], WatchPolicy] = WatchPolicy
+    course: Callable[[StoreWatcher], None],
+    *,
+    pace: Callable[[], WatchPolicy] = WatchPolicy,
 ) -> tuple[list[str], dict[int, float]]:
     """Run `course` as a change arrives for 1.5 s; return the watches made.
 
@@ -222,7 +226,9 @@
     def shorten(_: StoreWatcher) -> None:
         wait_s[0] = 0.8
 
-    asked, taken_s = follow_a_slow_answer(shorten, pace=lambda: WatchPolicy(wait_s=wait_s[0]))
+    asked, taken_s = follow_a_slow_answer(
+        shorten, pace=lambda: WatchPolicy(wait_s=wait_s[0])
+    )
     assert len(asked) == 1
     assert taken_s[6] <= taken_s[5] + 1.5 + SLACK_S
 
--- a/tests/test_store_tables.py
+++ b/tests/test_store_tables.py
@@ -49,7 +49,9 @@
 
 def reported_removed(store_tables: StoreTables) -> list[str]:
     """Return the servers that are reported to other VMs as removed."""
-    return [server.name for server in store_tables.departures.told()[0] if server.gone_at]
+    return [
+        server.name for server in store_tables.departures.told()[0] if server.gone_at
+    ]
 
 
 def listing(*objects: StoredObject, revision: int = 5) -> Listing:
--- a/tests/timed_engines.py
+++ b/tests/timed_engines.py
@@ -254,7 +254,7 @@
     )
     by_address = {engine.address: engine for engine in engines}
     pool = TimedPool(by_address)
-    crashes = CrashWatch("vm-1", clock=clock, probe=pool.probe, on_news=lambda: None)
+    crashes = CrashWatch("vm-1", clock=clock, probe=pool.probe, on_change=lambda: None)
     ports = RelayPorts(
         data_centre="a",
         clock=clock,
