--- a/benchmarks/placement.py
+++ b/benchmarks/placement.py
@@ -10,8 +10,8 @@
 from rosepath.placement import plan
 from rosepath.placement_demand import crowding
 from rosepath.placement_types import EngineView, PlacementPolicy, PlacementView
-from rosepath.rates import TokenBucket
 from rosepath.tables import Move, MoveAction, MoveReason
+from rosepath.token_bucket import TokenBucket
 
 TICK_S = 10.0
 DEMAND_WEIGHT = 0.5
--- a/src/rosepath/admission.py
+++ b/src/rosepath/admission.py
@@ -17,7 +17,9 @@
 class Admission:
     """Hold the limits' rows and admit requests under them."""
 
-    def __init__(self, *, clock: Clock, borrow: Borrow, return_slot: ReturnSlot) -> None:
+    def __init__(
+        self, *, clock: Clock, borrow: Borrow, return_slot: ReturnSlot
+    ) -> None:
         self.rows: dict[str, LimitRow] = {}
         self._clock = clock
         self._borrow = borrow
--- a/src/rosepath/attempt.py
+++ b/src/rosepath/attempt.py
@@ -4,7 +4,7 @@
 from collections.abc import Awaitable, Callable
 from dataclasses import dataclass
 
-from rosepath.caller_call import CallerRequest
+from rosepath.caller_request import CallerRequest
 from rosepath.clock import Clock
 from rosepath.errors import ExchangeError, RosepathError, Step
 from rosepath.event_sequence import EventSequence, EventSequenceError
--- a/src/rosepath/content_key.py
+++ b/src/rosepath/content_key.py
@@ -2,7 +2,7 @@
 
 from hashlib import blake2b
 
-from rosepath.caller_call import CallerRequest
+from rosepath.caller_request import CallerRequest
 
 KEY_BYTES = 12
 
--- a/src/rosepath/crash_records.py
+++ b/src/rosepath/crash_records.py
@@ -198,7 +198,9 @@
     def crashed(self, content_key: str) -> list[str]:
         """Return the servers that crashed with a request in flight."""
         record = self._records.get(content_key)
-        return [] if record is None else [instance.server for instance in record.exposures]
+        return (
+            [] if record is None else [instance.server for instance in record.exposures]
+        )
 
     def told(self) -> tuple[CrashReport, ...]:
         """Return the reports that other VMs may not have received yet."""
--- a/src/rosepath/demand.py
+++ b/src/rosepath/demand.py
@@ -4,7 +4,7 @@
 from collections.abc import Iterable, Mapping
 from dataclasses import dataclass, field
 
-from rosepath.caller_call import Prompt
+from rosepath.caller_request import Prompt
 
 # Demand shifts within seconds: a much shorter window misses rarely used
 # models, a longer one lags behind.
--- a/src/rosepath/engine_choice.py
+++ b/src/rosepath/engine_choice.py
@@ -4,7 +4,7 @@
 from collections.abc import Callable, Collection, Iterable
 from dataclasses import dataclass
 
-from rosepath.caller_call import Prompt
+from rosepath.caller_request import Prompt
 from rosepath.fleet import BackendServer
 from rosepath.rendezvous import ranked
 from rosepath.server_choice import healthy_servers
--- a/src/rosepath/engine_plan.py
+++ b/src/rosepath/engine_plan.py
@@ -17,7 +17,8 @@
 
 from rosepath.catalog import ModelSpec
 from rosepath.demand import ModelDemand
-from rosepath.engine_books import (
+from rosepath.engine_overload import EngineLimits
+from rosepath.engine_plan_state import (
     HORIZON_S,
     NO_UNSERVED_REQUESTS,
     NO_WORKLOAD,
@@ -25,7 +26,6 @@
     PlanState,
     Swap,
 )
-from rosepath.engine_strain import EngineLimits
 
 # Demand for a model shifts after about ten seconds on average, so the gain of
 # a load decays with its duration. The duration is not subtracted from the
--- a/src/rosepath/engine_books.py
+++ b/src/rosepath/engine_plan_state.py
@@ -10,7 +10,7 @@
 
 from rosepath.catalog import ModelSpec
 from rosepath.demand import ModelDemand
-from rosepath.engine_strain import EngineLimits, Workload, late_per_s
+from rosepath.engine_overload import EngineLimits, Workload, late_per_s
 
 # Period over which the gain or loss per second of a swap is counted.
 HORIZON_S = 6.0
--- a/src/rosepath/engine_views.py
+++ b/src/rosepath/engine_views.py
@@ -3,9 +3,9 @@
 from collections.abc import Collection
 
 from rosepath.catalog import EngineSpec, ModelSpec
-from rosepath.engine_books import EngineView, Swap
 from rosepath.engine_orders import EngineRecord
 from rosepath.engine_plan import IN_USE_WAIT_S
+from rosepath.engine_plan_state import EngineView, Swap
 from rosepath.fleet import BackendServer
 
 
--- a/src/rosepath/entry_node.py
+++ b/src/rosepath/entry_node.py
@@ -11,21 +11,20 @@
 from rosepath.attempt import AttemptSender
 from rosepath.catalog import Catalog
 from rosepath.clock import BootClock, SystemClock
-from rosepath.configuration_copies import (
-    PeerConfigurationFetcher,
-    configuration_application,
-    http_fetcher,
-)
 from rosepath.configuration_view import ConfigurationView
 from rosepath.crash_watch import CrashWatch, instance_of
+from rosepath.data_centre_isolation import DataCentreIsolation
 from rosepath.entry_metrics import EntryMetrics
 from rosepath.entry_settings import EntrySettings
-from rosepath.feed import StoreWatcher, WatchPolicy
 from rosepath.fleet import BackendServer
 from rosepath.gateway import CallerExchange, Gateway
 from rosepath.http_client import HttpPool
-from rosepath.data_centre_isolation import DataCentreIsolation
 from rosepath.logs import get_logger
+from rosepath.peer_configuration import (
+    PeerConfigurationFetcher,
+    configuration_application,
+    http_fetcher,
+)
 from rosepath.peer_exchange import VM_KIND, PeerExchange
 from rosepath.peer_messages import NEVER_S
 from rosepath.peer_table import PeerTable
@@ -41,13 +40,14 @@
 from rosepath.server_choice import note_backoff
 from rosepath.server_notice import ServerNotice
 from rosepath.settings import split_address
-from rosepath.store_pace import (
+from rosepath.store_tables import StoreTables
+from rosepath.store_watcher import StoreWatcher, WatchPolicy
+from rosepath.supervisor import Supervisor
+from rosepath.watch_policy import (
     WatchConditions,
     catalog_watch_policy,
     servers_watch_policy,
 )
-from rosepath.store_tables import StoreTables
-from rosepath.supervisor import Supervisor
 
 # The load balancer checks readiness once a second and removes a VM after two
 # failed checks.
@@ -236,7 +236,7 @@
         self.loops.forever(self.copies.run)
         self.loops.forever(self.exchange.join)
         self.loops.forever(self.exchange.link.run)
-        self.loops.every(PEER_EXPIRY_TICK_S, self.exchange.drop_inactive_load)
+        self.loops.every(PEER_EXPIRY_TICK_S, self.exchange.forget_silent)
         self.loops.every(ISOLATION_TICK_S, self.data_centre_isolation.step)
         self.loops.every(LEASE_TICK_S, self._step_lease)
         self.loops.forever(self._plan)
@@ -356,7 +356,7 @@
     @property
     def _is_large_fleet_follower(self) -> bool:
         """Whether the fleet is large and this VM is not the lease holder."""
-        return self.peers.crowded and not self.coordinator.term
+        return self.peers.large_fleet and not self.coordinator.term
 
     def _servers_watch_policy(self) -> WatchPolicy:
         feed = self.tables.servers_watcher
@@ -384,7 +384,7 @@
         told_age_s = math.inf if self.coordinator.term else feed.age.told_age_s
         return WatchConditions(
             staleness_limit_s=staleness_limit_s,
-            crowded=self._is_large_fleet_follower,
+            large_fleet=self._is_large_fleet_follower,
             told_age_s=told_age_s,
             # Only the holder watches on behalf of other VMs.
             message_interval_s=self.peers.interval_s if self.coordinator.term else 0.0,
--- a/src/rosepath/limits.py
+++ b/src/rosepath/limits.py
@@ -4,8 +4,8 @@
 from dataclasses import dataclass, field
 
 from rosepath.declarations import Limit, matches
-from rosepath.rates import TokenBucket
 from rosepath.shares import UNITS, allowance
+from rosepath.token_bucket import TokenBucket
 
 RATE_WINDOW_S = 1.0
 
@@ -70,7 +70,9 @@
         row.bucket.burst = max(1.0, rate_per_s * RATE_WINDOW_S)
 
 
-def matching_limits(rows: Iterable[LimitRow], caller: str, target: str) -> list[LimitRow]:
+def matching_limits(
+    rows: Iterable[LimitRow], caller: str, target: str
+) -> list[LimitRow]:
     """Return the limits that apply to a request."""
     return [
         row
--- a/src/rosepath/log_sink.py
+++ b/src/rosepath/log_sink.py
@@ -7,7 +7,7 @@
 
 from structlog import DropEvent
 
-from rosepath.rates import TokenBucket
+from rosepath.token_bucket import TokenBucket
 
 # Buffer for a stalled reader: at 300 bytes per line, what a busy VM writes in
 # half a minute.
--- a/src/rosepath/object_store.py
+++ b/src/rosepath/object_store.py
@@ -6,7 +6,7 @@
 from typing import NamedTuple, Protocol
 
 from rosepath.errors import RosepathError
-from rosepath.late_calls import OnResponseStart
+from rosepath.hedged_calls import OnResponseStart
 
 
 class StoredObject(NamedTuple):
--- a/src/rosepath/order_dispatcher.py
+++ b/src/rosepath/order_dispatcher.py
@@ -15,8 +15,8 @@
     OrderAction,
     OrderReply,
 )
+from rosepath.engine_overload import EngineLimits
 from rosepath.engine_plan import plan_swaps
-from rosepath.engine_strain import EngineLimits
 from rosepath.engine_views import engine_view, swap_duration_s, used_mb
 from rosepath.errors import ExchangeError
 from rosepath.fleet import BackendServer, Fleet
--- a/src/rosepath/configuration_copies.py
+++ b/src/rosepath/peer_configuration.py
@@ -15,11 +15,11 @@
 
 from rosepath.clock import Clock
 from rosepath.errors import ExchangeError, Step
-from rosepath.feed import StoreWatcher
 from rosepath.http_client import HttpPool, Request
 from rosepath.logs import get_logger
 from rosepath.object_store import StoredObject
 from rosepath.peer_table import Peer, PeerTable
+from rosepath.store_watcher import StoreWatcher
 
 PATH = "/configuration"
 REVISION_HEADER = "Rosepath-Revision"
--- a/src/rosepath/peer_messages.py
+++ b/src/rosepath/peer_messages.py
@@ -316,7 +316,9 @@
         ),
         crashes=tuple(
             CrashReport(
-                str(row[0]), ServerInstance(str(row[1]), int(row[2])), Exposure(int(row[3]))
+                str(row[0]),
+                ServerInstance(str(row[1]), int(row[2])),
+                Exposure(int(row[3])),
             )
             for row in raw["cr"]
         ),
--- a/src/rosepath/placement_coordinator.py
+++ b/src/rosepath/placement_coordinator.py
@@ -4,27 +4,27 @@
 import uuid
 from collections.abc import Callable, Mapping
 
-from rosepath.caller_call import Prompt
+from rosepath.caller_request import Prompt
 from rosepath.catalog import Catalog
 from rosepath.clock import BootClock, Clock
 from rosepath.demand import DemandTracker, ModelDemand, total_demand
 from rosepath.engine_orders import EnginePort
 from rosepath.entry_settings import EntrySettings
 from rosepath.fleet import BackendServer, Fleet
-from rosepath.held_moves import ResidencyChanges
-from rosepath.lease_backing import LeaseExtension
+from rosepath.lease_extension import LeaseExtension
 from rosepath.lease_keeper import LeaseKeeper
 from rosepath.leases import LeasePolicy
 from rosepath.logs import get_logger
 from rosepath.model_arrivals import ModelArrivals
 from rosepath.object_store import ObjectsPort
 from rosepath.order_dispatcher import DispatcherPorts, OrderDispatcher
-from rosepath.paced_call import ThrottledCall
 from rosepath.peer_link import PeerLink
 from rosepath.peer_messages import AdapterRequest, LeaseHandover, PeerState
 from rosepath.peer_table import PeerTable
 from rosepath.prompt_caches import PromptCaches
 from rosepath.rendezvous import ranked
+from rosepath.residency_changes import ResidencyChanges
+from rosepath.throttled_call import ThrottledCall
 
 # A single renewal may fail by chance; two in a row mean that the store fails.
 RESIGN_AFTER_OVERDUE_S = 0.5
--- a/src/rosepath/placer.py
+++ b/src/rosepath/placer.py
@@ -15,8 +15,8 @@
 from rosepath.placement import plan
 from rosepath.placement_types import PlacementPolicy, PlacementView, Plan
 from rosepath.placement_view import build_view
-from rosepath.rates import TokenBucket
 from rosepath.tables import Move, MoveAction, MoveRecord
+from rosepath.token_bucket import TokenBucket
 
 ANCHORS_NAME = "placement/anchors"
 ANCHORS_READ_S = 2.0
--- a/src/rosepath/platform/calls.py
+++ b/src/rosepath/platform/calls.py
@@ -5,7 +5,7 @@
 
 from tornado.httputil import HTTPHeaders
 
-from rosepath.caller_call import BadRequestError, CallerRequest, Prompt, PromptPart
+from rosepath.caller_request import BadRequestError, CallerRequest, Prompt, PromptPart
 from rosepath.retry_after import read_retry_after_s
 from rosepath.server_notice import NO_NOTICE, ServerNotice
 
--- a/src/rosepath/platform/store.py
+++ b/src/rosepath/platform/store.py
@@ -11,8 +11,8 @@
 from rosepath.call_deadline import CallDeadline
 from rosepath.clock import Clock
 from rosepath.errors import ExchangeError, Step
+from rosepath.hedged_calls import OnResponseStart
 from rosepath.http_client import HttpPool, Request, ResponseHead
-from rosepath.late_calls import OnResponseStart
 from rosepath.object_store import (
     Change,
     ConflictError,
--- a/src/rosepath/prompt_caches.py
+++ b/src/rosepath/prompt_caches.py
@@ -2,7 +2,7 @@
 
 from collections import OrderedDict
 
-from rosepath.caller_call import Prompt
+from rosepath.caller_request import Prompt
 from rosepath.fleet import BackendServer
 
 # Parts remembered per engine; the cache of an engine holds fewer.
--- a/src/rosepath/relay.py
+++ b/src/rosepath/relay.py
@@ -8,7 +8,7 @@
 from tornado.httputil import HTTPHeaders
 
 from rosepath.attempt import AttemptError, AttemptOptions, ServerResponse
-from rosepath.caller_call import BadRequestError, CallerRequest
+from rosepath.caller_request import BadRequestError, CallerRequest
 from rosepath.catalog import HostRoute, RouteKind
 from rosepath.crash_watch import instance_of
 from rosepath.errors import Refusal, RefusalError, Run, Step, refuse
@@ -31,7 +31,7 @@
 )
 from rosepath.server_notice import ServerNotice
 from rosepath.server_picker import ServerPicker
-from rosepath.suspects import SuspectTracker, lost_run_fields
+from rosepath.suspect_tracker import SuspectTracker, lost_run_fields
 
 # Subtracted from each deadline: the caller's clock may run 3 ms ahead of this
 # VM's, and a response that arrives after the caller's deadline is discarded.
--- a/src/rosepath/request_context.py
+++ b/src/rosepath/request_context.py
@@ -8,7 +8,7 @@
 from typing import Protocol
 
 from rosepath.attempt import AttemptSender
-from rosepath.caller_call import CallerRequest, Prompt
+from rosepath.caller_request import CallerRequest, Prompt
 from rosepath.catalog import Catalog, HostRoute, ServiceSpec
 from rosepath.clock import Clock
 from rosepath.configuration_view import UNKNOWN_CONFIGURATION, ConfigurationView
--- a/src/rosepath/server_picker.py
+++ b/src/rosepath/server_picker.py
@@ -5,7 +5,7 @@
 from collections.abc import Callable, Iterator
 from contextlib import contextmanager
 
-from rosepath.caller_call import Prompt
+from rosepath.caller_request import Prompt
 from rosepath.catalog import EngineSpec
 from rosepath.crash_records import Suspicion
 from rosepath.engine_choice import (
@@ -20,7 +20,7 @@
 from rosepath.model_arrivals import WaitDecision, choose_wait
 from rosepath.request_context import RETRY_AFTER_S, RelayPorts, RequestContext
 from rosepath.server_choice import choose_server, healthy_servers
-from rosepath.suspects import SuspectTracker
+from rosepath.suspect_tracker import SuspectTracker
 
 # How long a request to a service without engines waits for a server before it
 # is refused.
--- a/src/rosepath/store_session.py
+++ b/src/rosepath/store_session.py
@@ -17,8 +17,8 @@
     VmState,
 )
 from rosepath.platform.store import PlatformStore, StoreAccess
-from rosepath.rates import TokenBucket
 from rosepath.settings import PlatformSettings
+from rosepath.token_bucket import TokenBucket
 
 INITIAL_BACKOFF_S = 0.05
 MAX_BACKOFF_S = 2.0
--- a/src/rosepath/store_tables.py
+++ b/src/rosepath/store_tables.py
@@ -8,7 +8,6 @@
 from rosepath.catalog import Catalog
 from rosepath.clock import Clock
 from rosepath.departure_log import DepartureLog
-from rosepath.feed import StoreWatcher, WatchPolicy
 from rosepath.fleet import BackendServer, Fleet, LeavingServer
 from rosepath.logs import get_logger
 from rosepath.object_store import Change, Listing, ListWatchPort, StoredObject
@@ -19,6 +18,7 @@
     decode_catalog,
     decode_server,
 )
+from rosepath.store_watcher import StoreWatcher, WatchPolicy
 
 # Servers write entries that expired during an outage again within about this.
 ENTRY_RETURN_S = 2.2
--- a/src/rosepath/feed.py
+++ b/src/rosepath/store_watcher.py
@@ -10,7 +10,7 @@
 
 from rosepath.clock import Clock
 from rosepath.errors import Step
-from rosepath.late_calls import OnResponseStart, first_response
+from rosepath.hedged_calls import OnResponseStart, first_response
 from rosepath.logs import get_logger
 from rosepath.object_store import (
     Change,
--- a/src/rosepath/suspects.py
+++ b/src/rosepath/suspect_tracker.py
@@ -40,7 +40,9 @@
         if suspicion is not Suspicion.SUSPECT:
             return None
         request_id = context.call.request_id
-        if not self._crashes.may_send_isolated(context.content_key, request_id=request_id):
+        if not self._crashes.may_send_isolated(
+            context.content_key, request_id=request_id
+        ):
             return None
         return self._crashes.isolated.servers(now_s=self._clock.monotonic_s())
 
@@ -108,7 +110,10 @@
         self, context: RequestContext, flight: InFlightRequest, error: AttemptError
     ) -> LostRun:
         now_s = self._clock.monotonic_s()
-        ran_long = flight.first_event_s is not None and now_s - flight.first_event_s > ISOLATION_S
+        ran_long = (
+            flight.first_event_s is not None
+            and now_s - flight.first_event_s > ISOLATION_S
+        )
         starting = error.answered and not ran_long
         exposure = Exposure.STARTING if starting else Exposure.PRESENT
         return LostRun(
--- a/src/rosepath/swap_executor.py
+++ b/src/rosepath/swap_executor.py
@@ -6,8 +6,8 @@
 
 from rosepath.catalog import EngineSpec
 from rosepath.clock import Clock
-from rosepath.engine_books import Swap
 from rosepath.engine_orders import EnginePort, EngineRecord, OrderAction, OrderReply
+from rosepath.engine_plan_state import Swap
 from rosepath.engine_views import model_load_s, used_mb
 from rosepath.errors import ExchangeError
 from rosepath.fleet import BackendServer
--- a/src/rosepath/store_pace.py
+++ b/src/rosepath/watch_policy.py
@@ -19,7 +19,7 @@
 import math
 from dataclasses import dataclass
 
-from rosepath.feed import WatchPolicy
+from rosepath.store_watcher import WatchPolicy
 
 # A store read takes a few milliseconds, a failed one half a second; that one
 # is due is detected within a quarter of a second.
@@ -62,7 +62,7 @@
     """
 
     staleness_limit_s: float
-    crowded: bool = False
+    large_fleet: bool = False
     told_age_s: float = math.inf
     message_interval_s: float = 0.0
 
@@ -85,14 +85,14 @@
 def servers_watch_policy(following: WatchConditions) -> WatchPolicy:
     """Return the policy for watching the servers' entries."""
     if following.covered:
-        crowded = following.crowded
+        large_fleet = following.large_fleet
         return WatchPolicy(
             wait_s=COVERED_WAIT_S,
-            gather_s=GATHER_COVERED_CROWDED_S if crowded else GATHER_COVERED_S,
+            gather_s=GATHER_COVERED_CROWDED_S if large_fleet else GATHER_COVERED_S,
             backoff_max_s=BACKOFF_COVERED_S,
             relaxed=True,
         )
-    if following.crowded:
+    if following.large_fleet:
         return WatchPolicy(
             wait_s=following.wait_s,
             gather_s=GATHER_CROWDED_SHARE * following.staleness_limit_s,
@@ -107,11 +107,13 @@
 
 def catalog_watch_policy(following: WatchConditions) -> WatchPolicy:
     """Return the policy for watching the rarely changed configuration."""
-    covered, crowded = following.covered, following.crowded
+    covered, large_fleet = following.covered, following.large_fleet
     return WatchPolicy(
         wait_s=COVERED_WAIT_S if covered else following.wait_s,
         gather_s=GATHER_S,
-        backoff_max_s=BACKOFF_COVERED_S if covered or crowded else BACKOFF_UNCOVERED_S,
+        backoff_max_s=BACKOFF_COVERED_S
+        if covered or large_fleet
+        else BACKOFF_UNCOVERED_S,
         relaxed=covered,
-        copy_wait_s=COPY_WAIT_CROWDED_S if crowded else 0.0,
+        copy_wait_s=COPY_WAIT_CROWDED_S if large_fleet else 0.0,
     )
--- a/src/rosepath_standins/platform.py
+++ b/src/rosepath_standins/platform.py
@@ -13,7 +13,7 @@
 
 from tornado.web import Application, RequestHandler
 
-from rosepath.rates import TokenBucket
+from rosepath.token_bucket import TokenBucket
 from rosepath_standins.faults import Faults, FaultsHandler
 
 # A waiting watch looks this often whether a fault began meanwhile.
--- a/tests/entry_builders.py
+++ b/tests/entry_builders.py
@@ -3,7 +3,7 @@
 from collections.abc import Mapping
 from typing import Any
 
-from rosepath.caller_call import CallerRequest, Prompt, PromptPart
+from rosepath.caller_request import CallerRequest, Prompt, PromptPart
 from rosepath.catalog import (
     CallerLimits,
     Catalog,
@@ -16,14 +16,14 @@
 )
 from rosepath.clock import Clock
 from rosepath.crash_watch import CrashWatch
-from rosepath.engine_books import EngineView
+from rosepath.engine_plan_state import EngineView
 from rosepath.entry_settings import EntrySettings
 from rosepath.fleet import BackendServer, ServerEntry
 from rosepath.http_client import Contact
 from rosepath.peer_messages import PeerState
 from rosepath.request_context import RelayPorts
 from rosepath.server_picker import ServerPicker
-from rosepath.suspects import SuspectTracker
+from rosepath.suspect_tracker import SuspectTracker
 
 
 def a_model(name: str, *, size_mb: float = 70_000.0) -> ModelSpec:
--- a/tests/test_isolation.py
+++ b/tests/test_data_centre_isolation.py
@@ -7,7 +7,7 @@
 from fakes import FakePlatform
 
 from rosepath.clock import ManualClock
-from rosepath.isolation import DataCentreIsolation
+from rosepath.data_centre_isolation import DataCentreIsolation
 from rosepath.peer_table import PeerTable
 
 
--- a/tests/test_engine_choice.py
+++ b/tests/test_engine_choice.py
@@ -17,7 +17,7 @@
 from entry_harness import NoModels
 from timed_engines import Caller
 
-from rosepath.caller_call import Prompt
+from rosepath.caller_request import Prompt
 from rosepath.clock import ManualClock
 from rosepath.engine_choice import EngineChoice, choose_engine
 from rosepath.fleet import BackendServer, Fleet, InFlightRequest
--- a/tests/test_engine_strain.py
+++ b/tests/test_engine_overload.py
@@ -2,7 +2,7 @@
 
 import pytest
 
-from rosepath.engine_strain import (
+from rosepath.engine_overload import (
     EngineLimits,
     Workload,
     late_per_s,
--- a/tests/test_engine_plan.py
+++ b/tests/test_engine_plan.py
@@ -9,9 +9,9 @@
 from rosepath.catalog import ModelSpec
 from rosepath.demand import ModelDemand
 from rosepath.demand_history import DemandHistory
-from rosepath.engine_books import EngineView, Swap
+from rosepath.engine_overload import EngineLimits
 from rosepath.engine_plan import plan_swaps
-from rosepath.engine_strain import EngineLimits
+from rosepath.engine_plan_state import EngineView, Swap
 
 LIMITS = EngineLimits(slots=64, adapter_slots=8, first_s=0.6, gap_s=0.25)
 # After this many unserved requests, a model displaces others wherever it fits.
--- a/tests/test_entry_node.py
+++ b/tests/test_entry_node.py
@@ -7,7 +7,7 @@
 
 from rosepath.entry_node import PLAN_TICK_S, STANDBY_PLAN_TICK_S, EntryNode
 from rosepath.peer_messages import NEVER_S
-from rosepath.store_pace import WAIT_SHARE, catalog_watch_policy
+from rosepath.watch_policy import WAIT_SHARE, catalog_watch_policy
 
 
 def plans(*, acquires_lease: bool, acquires_at_s: float, until_s: float) -> list[float]:
--- a/tests/test_late_calls.py
+++ b/tests/test_hedged_calls.py
@@ -7,7 +7,7 @@
 import pytest
 from fleet_world import play
 
-from rosepath.late_calls import OnResponseStart, first_response
+from rosepath.hedged_calls import OnResponseStart, first_response
 
 SLOW_AFTER_S = 0.5
 HEDGE_INTERVAL_S = 1.0
--- a/tests/test_lease_backing.py
+++ b/tests/test_lease_extension.py
@@ -13,7 +13,7 @@
 
 from rosepath.clock import ManualClock
 from rosepath.fleet import Fleet
-from rosepath.lease_backing import LeaseExtension
+from rosepath.lease_extension import LeaseExtension
 from rosepath.peer_link import PeerLink
 from rosepath.peer_table import PeerTable
 from rosepath.placement_coordinator import (
--- a/tests/test_order_finish.py
+++ b/tests/test_order_finish.py
@@ -9,7 +9,7 @@
 from test_order_dispatcher import FakeEngine, until
 from virtual_time import LoopClock, VirtualLoop
 
-from rosepath.caller_call import Prompt
+from rosepath.caller_request import Prompt
 from rosepath.engine_orders import EngineReport, Order, OrderReply
 from rosepath.entry_node import BALANCER_DETECTION_S, EntryNode
 from rosepath.fleet import Fleet
--- a/tests/test_configuration_copies.py
+++ b/tests/test_peer_configuration.py
@@ -14,7 +14,10 @@
 from virtual_time import LoopClock
 
 from rosepath.clock import SystemClock
-from rosepath.configuration_copies import (
+from rosepath.errors import ExchangeError, Step
+from rosepath.http_client import HttpPool
+from rosepath.object_store import Change, Listing, StoredObject, StoreError
+from rosepath.peer_configuration import (
     HOLDER_EXCLUDED_S,
     MAX_CONCURRENT_RESPONSES,
     MAX_CONFIGURATION_BYTES,
@@ -25,11 +28,8 @@
     configuration_application,
     http_fetcher,
 )
-from rosepath.errors import ExchangeError, Step
-from rosepath.feed import StoreWatcher
-from rosepath.http_client import HttpPool
-from rosepath.object_store import Change, Listing, StoredObject, StoreError
 from rosepath.peer_table import SMALL_FLEET_VMS, PeerTable
+from rosepath.store_watcher import StoreWatcher
 
 NEWER = StoredObject("config/main", 9, b"{}")
 
--- a/tests/test_reads_left_to_arrive.py
+++ b/tests/test_reads_left_to_arrive.py
@@ -16,7 +16,7 @@
 )
 from virtual_time import LoopClock
 
-from rosepath.feed import StoreWatcher, WatchPolicy
+from rosepath.store_watcher import StoreWatcher, WatchPolicy
 
 # How long a full listing takes to arrive over a slow link.
 ARRIVES_S = 2.5
--- a/tests/test_slow_looks.py
+++ b/tests/test_slow_looks.py
@@ -7,9 +7,9 @@
 from entry_builders import a_server_document
 from virtual_time import LoopClock, VirtualLoop
 
-from rosepath.feed import WatchPolicy
 from rosepath.object_store import Change, Listing, StoredObject
 from rosepath.store_tables import REFRESH_TIMEOUT_S, StoreTables
+from rosepath.store_watcher import WatchPolicy
 
 DRAIN_S = 3.0
 
--- a/tests/test_slow_store_answers.py
+++ b/tests/test_slow_store_answers.py
@@ -7,8 +7,8 @@
 from store_wire import Pieces, a_store, answer, no_change, play
 from virtual_time import LoopClock, now_s
 
-from rosepath.feed import WatchPolicy
 from rosepath.store_tables import StoreTables
+from rosepath.store_watcher import WatchPolicy
 
 DRAIN_S = 2.0
 SETTLE_S = 4.0
--- a/tests/test_store_calls.py
+++ b/tests/test_store_calls.py
@@ -20,8 +20,8 @@
 )
 from virtual_time import LoopClock
 
-from rosepath.feed import StoreWatcher, WatchPolicy
 from rosepath.object_store import StoreError
+from rosepath.store_watcher import StoreWatcher, WatchPolicy
 
 CONFIG = "config"
 # For rounding and the steps of the event loop.
--- a/tests/test_store_tables.py
+++ b/tests/test_store_tables.py
@@ -8,9 +8,9 @@
 from entry_builders import a_server_document
 
 from rosepath.clock import ManualClock
-from rosepath.feed import WatchPolicy
 from rosepath.object_store import Change, Listing, StoredObject
 from rosepath.store_tables import ENTRY_RETURN_S, StoreTables
+from rosepath.store_watcher import WatchPolicy
 
 
 class NoStore:
--- a/tests/test_feed.py
+++ b/tests/test_store_watcher.py
@@ -10,7 +10,6 @@
 
 from rosepath.clock import ManualClock
 from rosepath.errors import Step
-from rosepath.feed import PROBE_WAIT_S, StoreWatcher, WatchPolicy
 from rosepath.object_store import (
     Change,
     HistoryGoneError,
@@ -18,6 +17,7 @@
     StoredObject,
     StoreError,
 )
+from rosepath.store_watcher import PROBE_WAIT_S, StoreWatcher, WatchPolicy
 
 
 class ScriptedStore:
--- a/tests/timed_engines.py
+++ b/tests/timed_engines.py
@@ -11,7 +11,7 @@
 from virtual_time import LoopClock, VirtualLoop
 
 from rosepath.attempt import AttemptSender
-from rosepath.caller_call import Prompt
+from rosepath.caller_request import Prompt
 from rosepath.catalog import HostRoute, RouteKind
 from rosepath.crash_watch import CrashWatch
 from rosepath.errors import ExchangeError, Step
