--- a/tests/test_lease_extension.py
+++ b/tests/test_lease_extension.py
@@ -37,7 +37,7 @@
     start: str = ""
     stopping: bool = False
 
-    def tell(self) -> None:
+    def send_state(self) -> None:
         return
 
     def receive(self, state: Any) -> None:
--- a/tests/test_order_arrival.py
+++ b/tests/test_order_arrival.py
@@ -10,7 +10,7 @@
 
 from entry_builders import an_entry
 from fakes import FakePlatform
-from test_lease_backing import NAMES, Node, run_nodes, three_nodes
+from test_lease_extension import NAMES, Node, run_nodes, three_nodes
 from test_order_dispatcher import FakeEngine, a_dispatcher
 
 from rosepath.clock import ManualClock
--- a/tests/test_watch_policy.py
+++ b/tests/test_watch_policy.py
@@ -9,7 +9,7 @@
     servers_watch_policy,
 )
 
-sizes = pytest.mark.parametrize(("crowded", "drain_s"), [(False, 2.0), (True, 3.0)])
+sizes = pytest.mark.parametrize(("large_fleet", "drain_s"), [(False, 2.0), (True, 3.0)])
 FRESH_S = 0.1
 # A failed read takes up to the call timeout.
 FAILED_READ_S = 0.5
@@ -55,7 +55,7 @@
     )
 
 
-@pytest.mark.parametrize("bound_s", [2.0, 3.0, 4.0])
+@pytest.mark.parametrize("staleness_limit_s", [2.0, 3.0, 4.0])
 def test_the_lease_holders_messages_always_cover_a_large_cluster(
     staleness_limit_s: float,
 ) -> None:
