--- a/src/rosepath/admission.py
+++ b/src/rosepath/admission.py
@@ -1,4 +1,4 @@
-"""Admit a request under the declared limits, with slots lent by peers."""
+"""Admit requests under the declared limits, with slots borrowed from peers."""
 
 import asyncio
 from collections.abc import AsyncIterator, Awaitable, Callable
@@ -8,16 +8,22 @@
 from rosepath.errors import Step, refuse
 from rosepath.limits import LimitRow, applying, take_rates
 
-Borrow = Callable[[str, str], Awaitable[str | None]]
-GiveBack = Callable[[str, str, str], Awaitable[None]]
+BorrowSlot = Callable[[str, str], Awaitable[str | None]]
+ReturnSlot = Callable[[str, str, str], Awaitable[None]]
 
 FULL_RETRY_AFTER_S = 1.0
 
 
 class Admission:
-    """Hold the limits' rows and admit requests under them."""
+    """Admit requests within this entry VM's part of the declared limits.
 
-    def __init__(self, *, clock: Clock, borrow: Borrow, give_back: GiveBack) -> None:
+    Owns the rows of the limits. When the local slots of a limit are used up,
+    it borrows a slot from another entry VM and returns it after the request.
+    """
+
+    def __init__(
+        self, *, clock: Clock, borrow: BorrowSlot, give_back: ReturnSlot
+    ) -> None:
         self.rows: dict[str, LimitRow] = {}
         self._clock = clock
         self._borrow = borrow
@@ -27,19 +33,19 @@
     async def admit(
         self, *, caller: str, target: str, request_id: str
     ) -> AsyncIterator[None]:
-        """Hold a slot of every limit that applies while a request runs."""
+        """Hold a slot of each applicable limit while the request runs."""
         rows = applying(self.rows.values(), caller, target)
-        held: list[LimitRow] = []
+        slots_taken: list[LimitRow] = []
         try:
             for row in rows:
                 if row.limit.concurrency is not None:
                     await self._take_slot(row, request_id)
-                    held.append(row)
+                    slots_taken.append(row)
             self._take_rates(rows)
             yield
         finally:
-            for row in held:
-                self._release(row, request_id)
+            for row in slots_taken:
+                self._release_slot(row, request_id)
 
     async def _take_slot(self, row: LimitRow, request_id: str) -> None:
         if not row.full:
@@ -68,7 +74,7 @@
                 retry_after_s=refusal.retry_after_s,
             )
 
-    def _release(self, row: LimitRow, request_id: str) -> None:
+    def _release_slot(self, row: LimitRow, request_id: str) -> None:
         row.own.discard(request_id)
         lender = row.borrowed.pop(request_id, None)
         if lender is not None:
--- a/src/rosepath/backend.py
+++ b/src/rosepath/backend.py
@@ -1,4 +1,4 @@
-"""The port to backend servers: what the system asks of them."""
+"""The interface to backend servers, independent of the wire protocol."""
 
 from collections.abc import Awaitable, Callable, Mapping
 from dataclasses import dataclass
@@ -10,7 +10,10 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class LoadReport:
-    """Hold one report; `at_s` is the backend server's own wall clock."""
+    """Load and resident models of a backend server at one time.
+
+    `at_s` is read from the backend server's own wall clock.
+    """
 
     at_s: float
     engine: EngineReport
@@ -23,7 +26,7 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class Generation:
-    """Ask an engine for an answer, from an offset in tokens onwards."""
+    """A generation request; `offset` is the token at which to resume."""
 
     request_id: str
     target: str
@@ -40,7 +43,10 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class Order:
-    """Order an engine to load or unload, or to note a fencing number."""
+    """An order to an engine: load, unload, or record a fencing token.
+
+    The engine rejects orders with a lower fencing token than it has seen.
+    """
 
     order_id: str
     fence: int
@@ -50,7 +56,7 @@
 
 
 class NotRunError(RosepathError):
-    """The backend server itself says that it ran nothing."""
+    """The backend server reports that it ran no part of the request."""
 
     def __init__(self, message: str, *, step: Step, peer: str, code: str) -> None:
         super().__init__(message, step=step, peer=peer)
@@ -58,7 +64,7 @@
 
 
 class StaleFenceError(RosepathError):
-    """The engine has seen a higher fencing number."""
+    """The engine has already seen a higher fencing token."""
 
 
 OnBytes = Callable[[bytes], Awaitable[None] | None]
@@ -66,7 +72,12 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class SendPolicy:
-    """Bound the waits of one exchange; a fresh connection if it must be."""
+    """Timeouts and connection requirements of one exchange.
+
+    `proven_live_within_s` limits how long ago a pooled connection received
+    its last response; None allows any. `may_break_off` is called when the
+    progress timeout expires and returns whether to abort the exchange.
+    """
 
     connect_timeout_s: float = 1.0
     progress_timeout_s: float = 10.0
@@ -75,7 +86,7 @@
 
 
 class BackendPort(Protocol):
-    """Reach backend servers by address."""
+    """Send reports, orders and generation requests to an address."""
 
     async def report(self, address: str) -> LoadReport: ...
 
--- a/src/rosepath/backend_http.py
+++ b/src/rosepath/backend_http.py
@@ -1,4 +1,4 @@
-"""The wire to backend servers: JSON and server-sent events, in this module only."""
+"""HTTP client of backend servers: encodes JSON and reads event streams."""
 
 import json
 from typing import Any
@@ -21,21 +21,21 @@
 
 
 class HttpBackend:
-    """Call backend servers over pooled HTTP connections."""
+    """Implement `BackendPort` over pooled HTTP connections."""
 
     def __init__(self, pool: HttpPool) -> None:
         self.pool = pool
 
     async def report(self, address: str) -> LoadReport:
-        """Fetch a load report; raises ExchangeError."""
+        """Fetch a load report; raise ExchangeError on failure."""
         _, body = await self.pool.fetch(_control("GET", address, "/report"))
         try:
             return _decode_report(json.loads(body))
         except (ValueError, KeyError, TypeError) as error:
-            raise _unreadable(address, str(error)) from error
+            raise _exchange_error(address, str(error)) from error
 
     async def order(self, address: str, order: Order) -> None:
-        """Send an order; raises ExchangeError or StaleFenceError."""
+        """Send an order; raise ExchangeError or StaleFenceError on failure."""
         body = json.dumps(
             {
                 "order_id": order.order_id,
@@ -48,13 +48,13 @@
         head, _ = await self.pool.fetch(_control("POST", address, "/orders", body))
         if head.status == 412:
             raise StaleFenceError(
-                f"fencing number {order.fence} is old", step=Step.SEND, peer=address
+                f"fencing token {order.fence} is outdated", step=Step.SEND, peer=address
             )
         if head.status >= 400:
-            raise _unreadable(address, f"order answered {head.status}")
+            raise _exchange_error(address, f"order answered {head.status}")
 
     async def cancel(self, address: str, request_id: str) -> None:
-        """Stop a stream that nobody waits for; failures are not reported."""
+        """Cancel a request whose caller has disconnected; ignore failures."""
         body = json.dumps({"request_id": request_id}).encode()
         try:
             await self.pool.fetch(_control("POST", address, "/v1/cancel", body))
@@ -68,7 +68,7 @@
         on_bytes: OnBytes,
         policy: SendPolicy,
     ) -> None:
-        """Stream an answer; raises ExchangeError or NotRunError."""
+        """Stream a response; raise ExchangeError or NotRunError on failure."""
         refusal: list[bytes] = []
         status = 0
 
@@ -98,7 +98,7 @@
         )
         await self.pool.exchange(request, on_head=on_head, on_data=on_data)
         if status != 200:
-            raise _refused(address, status, b"".join(refusal))
+            raise _refusal_error(address, status, b"".join(refusal))
 
 
 def _encode_generation(generation: Generation) -> bytes:
@@ -148,7 +148,7 @@
     )
 
 
-def _refused(address: str, status: int, body: bytes) -> Exception:
+def _refusal_error(address: str, status: int, body: bytes) -> Exception:
     try:
         raw = json.loads(body)
         if raw["ran"] is False:
@@ -158,10 +158,10 @@
             )
     except (ValueError, KeyError, TypeError):
         pass
-    return _unreadable(address, f"answered {status}")
+    return _exchange_error(address, f"answered {status}")
 
 
-def _unreadable(address: str, message: str) -> ExchangeError:
+def _exchange_error(address: str, message: str) -> ExchangeError:
     return ExchangeError(
         message, step=Step.ANSWER, peer=address, sent=True, answered=False
     )
--- a/src/rosepath/backend_watch.py
+++ b/src/rosepath/backend_watch.py
@@ -1,4 +1,4 @@
-"""Know how backend servers do: polled reports, gossip, the VM list."""
+"""Update the replicas from polled reports, gossip and the VM list."""
 
 from collections.abc import Callable
 
@@ -6,7 +6,7 @@
 from rosepath.gossip import Row, RowKey, RowKind
 from rosepath.logs import get_logger
 from rosepath.object_store import PlatformPort, StoreError, VmState
-from rosepath.poller import Poller, apply_load, load_says_leaving, smooth_demand
+from rosepath.poller import Poller, apply_load, reported_leaving, smooth_demand
 from rosepath.tables import Tables
 
 DEMAND_WEIGHT = 0.1
@@ -15,7 +15,11 @@
 
 
 class BackendWatch:
-    """Hold the VM list as last read, and keep the replicas' rows true."""
+    """Apply load reports, departures and the platform's VM list to the tables.
+
+    Owns the VM list as last read, and publishes changes to the other entry
+    VMs as gossip rows.
+    """
 
     def __init__(
         self,
@@ -37,7 +41,7 @@
         self._publish = publish
 
     def on_row(self, row: Row) -> None:
-        """Take a row that gossip brought."""
+        """Apply a row received by gossip."""
         replica = self._tables.replicas.get(row.key.name)
         if replica is None:
             return
@@ -47,7 +51,7 @@
             replica.leaving = row.payload == b"1"
 
     def note_leaving(self, name: str) -> None:
-        """Take no more work to a backend server, and tell the peers."""
+        """Mark a backend server as leaving and publish that to the peers."""
         replica = self._tables.replicas.get(name)
         if replica is None or replica.leaving:
             return
@@ -61,7 +65,7 @@
         self._publish(Row(RowKey(RowKind.LEAVING, name), version, payload))
 
     async def poll(self) -> None:
-        """Poll the replicas that are this node's, and follow the demand."""
+        """Poll the replicas assigned to this entry VM and update the demand."""
         now_s = self._clock.monotonic_s
         for row in await self._poller.poll_all(self._data_centre):
             replica = self._tables.replicas.get(row.key.name)
@@ -74,7 +78,7 @@
         smooth_demand(self._tables.demand, replicas, weight=DEMAND_WEIGHT)
 
     def _note_report(self, row: Row) -> None:
-        leaving = load_says_leaving(row.payload)
+        leaving = reported_leaving(row.payload)
         replica = self._tables.replicas[row.key.name]
         if leaving is True:
             self.note_leaving(row.key.name)
@@ -87,7 +91,7 @@
             self._publish_leaving(row.key.name, leaving=False)
 
     async def read_vms(self) -> None:
-        """Read the platform's VM list; a failed call changes nothing."""
+        """Read the platform's VM list; keep the last one if the call fails."""
         try:
             self.vms = await self._platform.vms()
         except (StoreError, ValueError):
--- a/src/rosepath/caller_handler.py
+++ b/src/rosepath/caller_handler.py
@@ -1,4 +1,4 @@
-"""What every handler of the callers' side shares: refusals, keys, hang-ups."""
+"""Base of the callers' handlers: authentication, refusals, disconnects."""
 
 import asyncio
 import hashlib
@@ -34,7 +34,7 @@
 
 @dataclass(slots=True, kw_only=True)
 class CallerPorts:
-    """Hold what the handlers work with."""
+    """Dependencies of the callers' handlers."""
 
     settings: Settings
     configuration: Callable[[], Configuration]
@@ -50,16 +50,21 @@
 
 
 class Handler(RequestHandler):
-    """Answer refusals as typed errors and hang-ups by cancelling the work."""
+    """Base class of the callers' handlers.
+
+    Owns the task that serves the request. The task is cancelled when the
+    caller disconnects, and a RefusalError that it raises is sent as a typed
+    error.
+    """
 
     def initialize(self, ports: CallerPorts) -> None:
         self.ports = ports
-        self.work: asyncio.Task[None] | None = None
+        self.task: asyncio.Task[None] | None = None
         self.request_id = uuid.uuid4().hex
-        self.in_stream = False
+        self.event_stream_started = False
         if ports.stopping():
-            # So that no caller sends its next request on a connection that
-            # is about to be closed: it would not know whether that ran.
+            # A caller that sends its next request on a connection that is
+            # about to be closed cannot tell whether that request ran.
             self.set_header("Connection", "close")
 
     def set_default_headers(self) -> None:
@@ -69,20 +74,20 @@
         return None
 
     def on_connection_close(self) -> None:
-        if self.work is not None:
-            self.work.cancel()
+        if self.task is not None:
+            self.task.cancel()
 
     def log_exception(self, *exc_info: Any) -> None:
         _log.error("handler_failed", request_id=self.request_id, exc_info=exc_info)
 
     def write_error(self, status_code: int, **_: Any) -> None:
-        """Answer what no refusal covers: a fault of this node, or bad HTTP."""
-        ours = status_code >= 500
+        """Respond to an unexpected exception or to invalid HTTP."""
+        server_error = status_code >= 500
         refusal = Refusal(
             status_code,
-            "internal_error" if ours else "bad_request",
-            "an unexpected failure" if ours else "the request cannot be read",
-            Run.UNKNOWN if ours else Run.NO,
+            "internal_error" if server_error else "bad_request",
+            "an unexpected failure" if server_error else "the request cannot be read",
+            Run.UNKNOWN if server_error else Run.NO,
             Step.PARSE,
         )
         self.set_header("Content-Type", "application/json")
@@ -90,11 +95,11 @@
         self.finish(json.dumps(error_body(refusal, self.request_id)))
 
     async def run(self, step: Callable[[], Awaitable[None]]) -> None:
-        """Run a handler's work as a task that a hang-up cancels."""
+        """Run `step` as a task that is cancelled when the caller disconnects."""
         self.ports.in_flight.add(self.request_id)
-        self.work = asyncio.ensure_future(_await(step))
+        self.task = asyncio.ensure_future(_await(step))
         try:
-            await self.work
+            await self.task
         except RefusalError as error:
             await self.send_refusal(error.refusal)
         except StreamClosedError:
@@ -106,7 +111,7 @@
             self.ports.in_flight.discard(self.request_id)
 
     async def send_refusal(self, refusal: Refusal) -> None:
-        """Send a refusal as the answer, or as the last event of a stream."""
+        """Send a refusal as the response, or as the last event of a stream."""
         self.ports.telemetry.refusals.add(
             1, {"code": refusal.code, "run": refusal.run.value}
         )
@@ -121,7 +126,7 @@
         body = json.dumps(error_body(refusal, self.request_id))
         try:
             if self._headers_written:
-                await self._end_broken(body)
+                await self._end_incomplete(body)
                 return
             self.set_status(refusal.status)
             self.set_header("Content-Type", "application/json")
@@ -134,22 +139,22 @@
         except StreamClosedError:
             return
 
-    async def _end_broken(self, body: str) -> None:
-        """End an answer that began: an error event, or a visible cut."""
-        if self.in_stream:
+    async def _end_incomplete(self, body: str) -> None:
+        """End a started response with an error event, or close the connection."""
+        if self.event_stream_started:
             self.write(f"data: {body}\n\n")
             await self.finish()
             return
-        # Finishing here would make half an answer look whole.
+        # Finishing normally would make the partial response look complete.
         self.request.connection.stream.close()  # type: ignore[union-attr]
 
     def authenticate(self) -> str:
         """Return the caller's name."""
         scheme, _, key = self.request.headers.get("Authorization", "").partition(" ")
-        hashed = hashlib.sha256(key.strip().encode()).hexdigest()
+        key_digest = hashlib.sha256(key.strip().encode()).hexdigest()
         found = None
-        for known, name in self.ports.configuration().callers_by_key.items():
-            if hmac.compare_digest(known, hashed):
+        for known_digest, name in self.ports.configuration().callers_by_key.items():
+            if hmac.compare_digest(known_digest, key_digest):
                 found = name
         if scheme.lower() != "bearer" or found is None:
             raise refuse(
@@ -165,55 +170,55 @@
         return row is not None and matches(name, row.reach)
 
     def check_ready(self) -> None:
-        """Refuse while this node can't serve.
+        """Raise RefusalError while this entry VM is not ready.
 
-        Before anything else: a node without a configuration knows no key,
-        and must not tell a caller that its key is wrong. One that stops goes
-        on serving whatever still reaches it.
+        Called before authentication: without a configuration no key is known,
+        and a valid key must not be rejected. An entry VM that is stopping
+        still serves the requests that arrive.
         """
         reason = "" if self.ports.stopping() else self.ports.ready()
         if reason:
             raise refuse(503, "not_ready", reason, step=Step.ROUTE, retry_after_s=1.0)
 
     def terms(self, *, idempotent: bool, span: trace.Span) -> Terms:
-        """Read how the caller wants its request run."""
+        """Read the deadline and idempotency of the request from its headers."""
         settings = self.ports.settings
         timeout_s = settings.routing.request_timeout_s
-        given = self.request.headers.get("Rosepath-Deadline-Ms", "")
-        if given:
-            if not given.isdigit() or int(given) == 0:
+        header_value = self.request.headers.get("Rosepath-Deadline-Ms", "")
+        if header_value:
+            if not header_value.isdigit() or int(header_value) == 0:
                 raise refuse(
                     400,
                     "invalid_header",
                     "Rosepath-Deadline-Ms must be a positive integer",
                     step=Step.PARSE,
                 )
-            timeout_s = min(timeout_s, int(given) / 1000)
-        marked = self.marked_idempotent()
+            timeout_s = min(timeout_s, int(header_value) / 1000)
+        marked_idempotent = self.marked_idempotent()
         return Terms(
-            idempotent=idempotent and marked,
+            idempotent=idempotent and marked_idempotent,
             deadline_s=self.ports.clock.monotonic_s() + timeout_s,
             data_centre=settings.data_centre,
             span=span,
         )
 
     def marked_idempotent(self) -> bool:
-        """Read the header that marks a request as non-idempotent."""
-        given = self.request.headers.get("Rosepath-Idempotent", "true").lower()
-        if given not in ("true", "false"):
+        """Return False if the caller marks the request as non-idempotent."""
+        header_value = self.request.headers.get("Rosepath-Idempotent", "true").lower()
+        if header_value not in ("true", "false"):
             raise refuse(
                 400,
                 "invalid_header",
                 "Rosepath-Idempotent must be true or false",
                 step=Step.PARSE,
             )
-        return given == "true"
+        return header_value == "true"
 
     def priority(self) -> int:
-        """Read the header that ranks a request."""
-        given = self.request.headers.get("Rosepath-Priority", "0")
+        """Return the priority of the request, limited to -100..100."""
+        header_value = self.request.headers.get("Rosepath-Priority", "0")
         try:
-            return max(-100, min(100, int(given)))
+            return max(-100, min(100, int(header_value)))
         except ValueError:
             raise refuse(
                 400,
@@ -223,7 +228,10 @@
             ) from None
 
     async def claim(self, caller: str, body: bytes) -> HeldClaim | Outcome | None:
-        """Claim the idempotency key, if the caller sent one."""
+        """Claim the idempotency key if the caller sent one.
+
+        Return the recorded response if the key has been used before.
+        """
         key = self.request.headers.get("Idempotency-Key", "")
         if not key:
             return None
@@ -241,7 +249,7 @@
         )
 
     def start_span(self, name: str, **attributes: str) -> trace.Span:
-        """Start this hop's span under the caller's, if it sent one."""
+        """Start a span, as a child of the caller's span if it sent one."""
         context = context_from_headers(
             {"traceparent": self.request.headers.get("Traceparent", "")}
         )
@@ -250,8 +258,12 @@
             name, context=context, attributes=attributes
         )
 
-    def send_ahead(self, data: bytes) -> Awaitable[None] | None:
-        """Write to the caller; hold the sender back once enough is waiting."""
+    def write_with_backpressure(self, data: bytes) -> Awaitable[None] | None:
+        """Write to the caller.
+
+        Return an awaitable once more than WRITE_AHEAD_BYTES are unsent; the
+        sender waits for it before it reads further data.
+        """
         self.write(data)
         written = self.flush()
         stream = self.request.connection.stream  # type: ignore[union-attr]
@@ -260,7 +272,7 @@
         return None
 
     async def replay(self, outcome: Outcome) -> None:
-        """Send the recorded answer of an earlier request with the same key."""
+        """Send the recorded response of an earlier request with the same key."""
         self.set_status(outcome.status)
         for name, value in outcome.headers.items():
             self.set_header(name, value)
@@ -273,7 +285,7 @@
 
 
 def error_body(refusal: Refusal, request_id: str) -> dict[str, Any]:
-    """Return a refusal in the shape that OpenAI's clients read."""
+    """Return a refusal in the error format of the OpenAI API."""
     kind = "invalid_request_error" if refusal.status < 500 else "server_error"
     return {
         "error": {
--- a/src/rosepath/caller_server.py
+++ b/src/rosepath/caller_server.py
@@ -1,4 +1,4 @@
-"""The callers' HTTP application: its paths, health and metrics."""
+"""The callers' HTTP application: routes, health checks and metrics."""
 
 from tornado.web import Application
 
@@ -10,14 +10,14 @@
 
 
 class LiveHandler(Handler):
-    """Tell that the process runs."""
+    """Liveness check: respond while the process runs."""
 
     def get(self) -> None:
         self.finish("ok\n")
 
 
 class ReadyHandler(Handler):
-    """Tell the balancer whether to send callers here."""
+    """Readiness check, by which the load balancer selects entry VMs."""
 
     def get(self) -> None:
         reason = self.ports.ready()
@@ -26,7 +26,7 @@
 
 
 class MetricsHandler(Handler):
-    """Show the metrics."""
+    """Serve the metrics in the Prometheus text format."""
 
     def get(self) -> None:
         self.set_header("Content-Type", "text/plain; version=0.0.4")
@@ -34,7 +34,7 @@
 
 
 class UnknownPathHandler(Handler):
-    """Refuse paths that do not exist."""
+    """Respond with 404 to unknown paths."""
 
     async def prepare(self) -> None:
         refusal = Refusal(404, "path_not_found", "no such path", Run.NO, Step.PARSE)
@@ -43,10 +43,10 @@
 
 def make_application(ports: CallerPorts) -> Application:
     """Build the callers' HTTP application."""
-    given = {"ports": ports}
+    arguments = {"ports": ports}
     return Application(
         [
-            (r"/v1/models", ModelsHandler, given),
+            (r"/v1/models", ModelsHandler, arguments),
             (
                 r"/v1/chat/completions",
                 GenerationHandler,
@@ -57,14 +57,14 @@
                 GenerationHandler,
                 {"ports": ports, "shape": "completion"},
             ),
-            (r"/v1/deferred", DeferHandler, given),
-            (r"/v1/deferred/([0-9a-f]{32})", DeferredStatusHandler, given),
-            (r"/services/([^/?]+)(?:/.*)?", ServiceHandler, given),
-            (r"/livez", LiveHandler, given),
-            (r"/readyz", ReadyHandler, given),
-            (r"/metrics", MetricsHandler, given),
+            (r"/v1/deferred", DeferHandler, arguments),
+            (r"/v1/deferred/([0-9a-f]{32})", DeferredStatusHandler, arguments),
+            (r"/services/([^/?]+)(?:/.*)?", ServiceHandler, arguments),
+            (r"/livez", LiveHandler, arguments),
+            (r"/readyz", ReadyHandler, arguments),
+            (r"/metrics", MetricsHandler, arguments),
         ],
         default_handler_class=UnknownPathHandler,
-        default_handler_args=given,
+        default_handler_args=arguments,
         log_function=lambda _: None,
     )
--- a/src/rosepath/dispatch.py
+++ b/src/rosepath/dispatch.py
@@ -1,4 +1,4 @@
-"""Try a request on replicas until it is answered, or refuse it honestly."""
+"""Run generation requests on replicas, with retries and resumed streams."""
 
 import asyncio
 import random
@@ -44,7 +44,7 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class Terms:
-    """Hold what a caller asked of the way its request is run."""
+    """Deadline, idempotency and tracing context of one caller's request."""
 
     idempotent: bool
     deadline_s: float
@@ -53,11 +53,12 @@
 
 
 @dataclass(slots=True)
-class _Course:
-    """Hold how a request has gone so far, over all its attempts.
+class _AttemptHistory:
+    """State of one request over all its attempts.
 
-    `refused` holds the replicas that would only refuse again; `paid` says that
-    the budget was spent for what follows the present attempt.
+    `refused` has the replicas that rejected the request without running it.
+    `paid` is True once the retry that follows the current attempt has been
+    taken from the retry budget.
     """
 
     tried: set[str] = field(default_factory=set)
@@ -70,7 +71,11 @@
 
 
 class Dispatcher:
-    """Hold what routing learns, and run requests over the tables."""
+    """Run requests on the replicas of the tables.
+
+    Owns the retry budget and the prefix index, and is shared with
+    `ServiceRelay`, so that both kinds of requests draw on one budget.
+    """
 
     def __init__(
         self,
@@ -97,21 +102,26 @@
     async def generate(
         self, generation: Generation, terms: Terms, on_events: OnBytes
     ) -> StreamChecker:
-        """Answer a model request; raises RefusalError if it can't be."""
+        """Stream a model's response to `on_events`, resuming after failures.
+
+        Raise RefusalError if no further attempt is allowed or possible.
+        """
         checker = StreamChecker(generation.request_id)
         keys = prefix_keys(generation.target, generation.prompt)
-        course = _Course()
+        history = _AttemptHistory()
         self.budget.earn()
         while not checker.complete:
-            replica = await self._choose(generation.target, keys, terms, course)
-            left = replace(generation, offset=checker.offset)
+            replica = await self._choose(generation.target, keys, terms, history)
+            remaining = replace(generation, offset=checker.offset)
             try:
-                await self._attempt(replica, left, terms, checker, course, on_events)
+                await self._attempt(
+                    replica, remaining, terms, checker, history, on_events
+                )
             except (ExchangeError, NotRunError, StreamBrokenError) as error:
-                self._after_failure(replica, error, terms, checker, course)
+                self._after_failure(replica, error, terms, checker, history)
             else:
                 self.prefixes.note(keys, replica.name)
-        self._count_dropped(checker)
+        self._count_dropped_chunks(checker)
         return checker
 
     async def _attempt(
@@ -120,10 +130,10 @@
         generation: Generation,
         terms: Terms,
         checker: StreamChecker,
-        course: _Course,
+        history: _AttemptHistory,
         on_events: OnBytes,
     ) -> None:
-        checker.restart()
+        checker.discard_partial_event()
         started_s = self._clock.monotonic_s()
         key = f"{generation.request_id}.{generation.offset}"
 
@@ -132,8 +142,8 @@
             return on_events(passed) if passed else None
 
         def may_break_off() -> bool:
-            course.paid = self._leaves(replica, generation, terms, checker, course)
-            return course.paid
+            history.paid = self._may_abort(replica, generation, terms, checker, history)
+            return history.paid
 
         context = trace.set_span_in_context(terms.span)
         attributes: dict[str, str | int] = {
@@ -164,54 +174,58 @@
     def _send_policy(
         self, terms: Terms, may_break_off: Callable[[], bool]
     ) -> SendPolicy:
-        # A connection that something between the ends has forgotten swallows
-        # a request without a word, and nobody can tell whether it ran. What
-        # may run only once goes out where an answer came a moment ago.
-        fresh_s = None if terms.idempotent else self.settings.proven_live_within_s
+        # A middlebox that has dropped a connection's state discards a request
+        # without an error, so it is unknown whether the request ran.
+        # Non-idempotent requests therefore only use a pooled connection that
+        # received a response recently.
+        max_idle_s = None if terms.idempotent else self.settings.proven_live_within_s
         return SendPolicy(
             connect_timeout_s=self.settings.connect_timeout_s,
             progress_timeout_s=self.settings.progress_timeout_s,
-            proven_live_within_s=fresh_s,
+            proven_live_within_s=max_idle_s,
             may_break_off=may_break_off,
         )
 
-    def _leaves(
+    def _may_abort(
         self,
         replica: Replica,
         generation: Generation,
         terms: Terms,
         checker: StreamChecker,
-        course: _Course,
+        history: _AttemptHistory,
     ) -> bool:
-        evidence = _evidence_once_sent(checker)
-        unfit = {replica.name, *course.refused}
+        evidence = _evidence_after_send(checker)
+        excluded = {replica.name, *history.refused}
         if evidence is Evidence.ANSWER_BEGUN:
-            # An engine may lose a single stream. If it has room, it didn't set
-            # that aside, and goes on after the last token without a loss.
-            unfit = course.refused
-        return self.leaves_silent(
-            self._as_attempt(evidence, terms, course, attempts=course.attempts + 1),
+            # An engine may lose a single stream. If it has a free slot, it did
+            # not preempt the stream, so the same engine can resume it after
+            # the last token.
+            excluded = history.refused
+        return self.may_abort_attempt(
+            self._as_attempt(evidence, terms, history, attempts=history.attempts + 1),
             self.tables.replicas.values(),
             generation.target,
-            unfit=unfit,
+            excluded=excluded,
         )
 
-    def leaves_silent(
+    def may_abort_attempt(
         self,
         attempt: Attempt,
         replicas: Iterable[Replica],
         target: str,
         *,
-        unfit: Collection[str],
+        excluded: Collection[str],
     ) -> bool:
-        """Tell whether a request leaves a silent server; spends a retry then.
+        """Return whether to abort an attempt at a silent server.
 
-        Its server may be at work: broken off while it may not or can't go on
-        elsewhere, the request would be lost to its caller with time left.
+        The server may still be working on the request. The attempt is kept if
+        no retry is allowed or no other replica has a free slot, as aborting
+        it would fail a request that has time left. Takes a retry from the
+        budget if it returns True with time left and none was taken before.
         """
         if attempt.left_s <= 0:
             return True
-        if not has_room_besides(replicas, target, unfit=unfit):
+        if not has_room_besides(replicas, target, excluded=excluded):
             return False
         return judge(attempt, self.budget) is not Verdict.GIVE_UP
 
@@ -219,7 +233,7 @@
         asyncio.ensure_future(self.backend.cancel(replica.address, request_id))
 
     async def _choose(
-        self, target: str, keys: list[int], terms: Terms, course: _Course
+        self, target: str, keys: list[int], terms: Terms, history: _AttemptHistory
     ) -> Replica:
         left_s = terms.deadline_s - self._clock.monotonic_s()
         request = RoutingRequest(
@@ -227,16 +241,16 @@
             data_centre=terms.data_centre,
             prefix_home=self.prefixes.find(keys),
             prefix_key=str(keys[0]) if keys else "",
-            tried=frozenset(course.tried | course.refused),
+            tried=frozenset(history.tried | history.refused),
         )
         replicas = self.tables.replicas.values()
-        replica = await self.choose_again(
-            replicas, request, refused=frozenset(course.refused)
+        replica = await self.choose_with_fallback(
+            replicas, request, refused=frozenset(history.refused)
         )
         if replica is None:
-            raise self._unavailable(target, course)
+            raise self._unavailable(target, history)
         wait_s = predicted_first_token_s(replica, terms.data_centre)
-        if course.attempts == 0 and wait_s > left_s:
+        if history.attempts == 0 and wait_s > left_s:
             raise refuse(
                 503,
                 "deadline_unreachable",
@@ -246,7 +260,7 @@
             )
         return replica
 
-    async def choose_again(
+    async def choose_with_fallback(
         self,
         replicas: Collection[Replica],
         request: RoutingRequest,
@@ -255,8 +269,8 @@
     ) -> Replica | None:
         """Choose an untried replica, or after a pause one that failed before.
 
-        A model often has a single copy; giving up on it after one broken
-        connection would refuse what a second try answers.
+        A model is often loaded on a single replica; excluding it after one
+        broken connection would refuse requests that a second attempt serves.
         """
         replica = self.choose(replicas, request)
         if replica is None and request.tried - refused:
@@ -276,9 +290,9 @@
             rng=self._rng,
         )
 
-    def _unavailable(self, target: str, course: _Course) -> RefusalError:
-        if course.evidence:
-            return self._given_up(course)
+    def _unavailable(self, target: str, history: _AttemptHistory) -> RefusalError:
+        if history.evidence:
+            return self._attempts_failed(history)
         loading = any(
             replica.reachable and not replica.leaving
             for replica in self.tables.replicas.values()
@@ -297,21 +311,21 @@
         error: Exception,
         terms: Terms,
         checker: StreamChecker,
-        course: _Course,
+        history: _AttemptHistory,
     ) -> None:
-        """Learn from a failure; return to try again, or raise the refusal."""
-        evidence = self._evidence(replica, error, checker)
-        course.evidence.append(evidence)
-        course.attempts += 1
-        course.last_error, course.last_peer = str(error), replica.name
-        course.tried.add(replica.name)
+        """Record a failed attempt; raise RefusalError if it is not retried."""
+        evidence = self._record_evidence(replica, error, checker)
+        history.evidence.append(evidence)
+        history.attempts += 1
+        history.last_error, history.last_peer = str(error), replica.name
+        history.tried.add(replica.name)
         if isinstance(error, NotRunError):
-            course.refused.add(replica.name)
+            history.refused.add(replica.name)
         verdict = judge(
-            self._as_attempt(evidence, terms, course, attempts=course.attempts),
+            self._as_attempt(evidence, terms, history, attempts=history.attempts),
             self.budget,
         )
-        course.paid = False
+        history.paid = False
         self.telemetry.retries.add(
             1, {"verdict": verdict.value, "evidence": evidence.value}
         )
@@ -325,11 +339,16 @@
             error=str(error),
         )
         if verdict is Verdict.GIVE_UP:
-            self._count_dropped(checker)
-            raise self._given_up(course) from error
+            self._count_dropped_chunks(checker)
+            raise self._attempts_failed(history) from error
 
     def _as_attempt(
-        self, evidence: Evidence, terms: Terms, course: _Course, *, attempts: int
+        self,
+        evidence: Evidence,
+        terms: Terms,
+        history: _AttemptHistory,
+        *,
+        attempts: int,
     ) -> Attempt:
         return Attempt(
             evidence=evidence,
@@ -338,51 +357,51 @@
             attempts=attempts,
             max_attempts=MAX_ATTEMPTS,
             left_s=terms.deadline_s - self._clock.monotonic_s(),
-            paid=course.paid,
+            paid=history.paid,
         )
 
-    def _evidence(
+    def _record_evidence(
         self, replica: Replica, error: Exception, checker: StreamChecker
     ) -> Evidence:
         if isinstance(error, NotRunError):
-            self._learn_refusal(replica, error.code, checker)
-            begun = checker.offset > 0
-            return Evidence.ANSWER_BEGUN if begun else Evidence.REFUSED
+            self._apply_refusal(replica, error.code, checker)
+            response_started = checker.offset > 0
+            return Evidence.ANSWER_BEGUN if response_started else Evidence.REFUSED
         note_failure(replica, now_s=self._clock.monotonic_s())
-        evidence = _evidence_once_sent(checker)
+        evidence = _evidence_after_send(checker)
         if isinstance(error, ExchangeError) and not error.sent:
             return Evidence.NOT_SENT if evidence is Evidence.SENT else evidence
         return evidence
 
-    def _learn_refusal(
+    def _apply_refusal(
         self, replica: Replica, code: str, checker: StreamChecker
     ) -> None:
         if code == "leaving":
             self._on_leaving(replica.name)
         elif code == "not_loaded":
-            # The report was stale; the next one will tell. Until then this
-            # replica would only refuse again.
+            # The load report was stale. The replica would refuse again until
+            # the next report corrects its resident models.
             note_failure(replica, now_s=self._clock.monotonic_s())
         else:
             replica.queued = max(replica.queued, replica.slots)
 
-    def _given_up(self, course: _Course) -> RefusalError:
-        evidence = worst_evidence(course.evidence)
+    def _attempts_failed(self, history: _AttemptHistory) -> RefusalError:
+        evidence = worst_evidence(history.evidence)
         run = run_of(evidence)
         return refuse(
             503 if run is Run.NO else 502,
             "backend_failed",
-            f"{course.attempts} attempts failed; the last: {course.last_error}",
+            f"{history.attempts} attempts failed; the last: {history.last_error}",
             step=Step.STREAM if run is Run.PARTIAL else Step.SEND,
             run=run,
-            peer=course.last_peer,
+            peer=history.last_peer,
             retry_after_s=1.0,
         )
 
-    def _count_dropped(self, checker: StreamChecker) -> None:
+    def _count_dropped_chunks(self, checker: StreamChecker) -> None:
         for reason, count in checker.dropped.items():
             self.telemetry.dropped_chunks.add(count, {"reason": reason.value})
 
 
-def _evidence_once_sent(checker: StreamChecker) -> Evidence:
+def _evidence_after_send(checker: StreamChecker) -> Evidence:
     return Evidence.ANSWER_BEGUN if checker.offset > 0 else Evidence.SENT
--- a/src/rosepath/generation_handlers.py
+++ b/src/rosepath/generation_handlers.py
@@ -1,4 +1,4 @@
-"""The OpenAI-compatible paths."""
+"""Handlers of the OpenAI-compatible paths."""
 
 from collections.abc import Awaitable
 
@@ -18,7 +18,7 @@
 
 
 class ModelsHandler(Handler):
-    """List what the caller may ask for."""
+    """List the models, adapters and routes that the caller may use."""
 
     async def get(self) -> None:
         await self.run(self._list)
@@ -42,7 +42,7 @@
 
 
 class GenerationHandler(Handler):
-    """Answer chat and text completions."""
+    """Serve chat and text completions, as a stream or one response."""
 
     def initialize(  # type: ignore[override]
         self, ports: CallerPorts, shape: str
@@ -51,9 +51,9 @@
         self.shape = shape
 
     async def post(self) -> None:
-        await self.run(self._answer)
+        await self.run(self._serve)
 
-    async def _answer(self) -> None:
+    async def _serve(self) -> None:
         self.check_ready()
         caller = self.authenticate()
         match parse_body(self.shape, self.request.body):
@@ -101,29 +101,29 @@
         self.set_header("Content-Type", "text/event-stream")
         self.set_header("Cache-Control", "no-cache")
         self.set_header("Rosepath-Request-Id", self.request_id)
-        timing = _Timing(self.ports.clock)
-        kept: list[bytes] = []
+        timer = _TokenTimer(self.ports.clock)
+        recorded: list[bytes] = []
 
         def on_events(events: bytes) -> Awaitable[None] | None:
-            self.in_stream = True
-            timing.note()
+            self.event_stream_started = True
+            timer.record_event()
             if outcome.wanted:
-                kept.append(events)
+                recorded.append(events)
             return self._send_events(events)
 
         checker = await self.ports.dispatcher.generate(generation, terms, on_events)
-        outcome.set(200, {"Content-Type": "text/event-stream"}, b"".join(kept))
-        self._record(timing, generation.target, checker.offset)
+        outcome.set(200, {"Content-Type": "text/event-stream"}, b"".join(recorded))
+        self._record(timer, generation.target, checker.offset)
         await self.finish()
 
     def _send_events(self, events: bytes) -> Awaitable[None] | None:
-        """Write events past the handler's buffers once the headers are out.
+        """Write events straight to the connection once the headers are sent.
 
-        The handler's own write and flush cost as much as the socket write
-        itself, for each token of each stream.
+        Tornado's `write` and `flush` cost as much as the socket write itself,
+        for each token of each stream.
         """
         if not self._headers_written or self.request.version != "HTTP/1.1":
-            return self.send_ahead(events)
+            return self.write_with_backpressure(events)
         stream = self.request.connection.stream  # type: ignore[union-attr]
         written = stream.write(b"%x\r\n%b\r\n" % (len(events), events))
         if len(stream._write_buffer) > WRITE_AHEAD_BYTES:
@@ -134,30 +134,30 @@
         self, generation: Generation, terms: Terms, outcome: ClaimOutcome
     ) -> None:
         events: list[bytes] = []
-        timing = _Timing(self.ports.clock)
+        timer = _TokenTimer(self.ports.clock)
 
         def on_events(data: bytes) -> None:
-            timing.note()
+            timer.record_event()
             events.append(data)
 
         checker = await self.ports.dispatcher.generate(generation, terms, on_events)
-        self._record(timing, generation.target, checker.offset)
+        self._record(timer, generation.target, checker.offset)
         body = collect_answer(b"".join(events), generation)
         outcome.set(200, {"Content-Type": "application/json"}, body)
         self.set_header("Content-Type", "application/json")
         self.set_header("Rosepath-Request-Id", self.request_id)
         await self.finish(body)
 
-    def _record(self, timing: "_Timing", target: str, tokens: int) -> None:
+    def _record(self, timer: "_TokenTimer", target: str, tokens: int) -> None:
         telemetry = self.ports.telemetry
-        telemetry.first_token.record(timing.first_s, {"target": target})
+        telemetry.first_token.record(timer.first_s, {"target": target})
         if tokens > 1:
-            between_s = timing.span_s / (tokens - 1)
+            between_s = timer.span_s / (tokens - 1)
             telemetry.between_tokens.record(between_s, {"target": target})
 
 
-class _Timing:
-    """Take the times of the first and the last token."""
+class _TokenTimer:
+    """Measure the time to the first token and between first and last."""
 
     def __init__(self, clock: Clock) -> None:
         self._now_s = clock.monotonic_s
@@ -165,7 +165,7 @@
         self._first_s: float | None = None
         self._last_s = self._started_s
 
-    def note(self) -> None:
+    def record_event(self) -> None:
         self._last_s = self._now_s()
         if self._first_s is None:
             self._first_s = self._last_s
--- a/src/rosepath/openai_api.py
+++ b/src/rosepath/openai_api.py
@@ -1,4 +1,4 @@
-"""The OpenAI-compatible requests and answers, checked at the border."""
+"""Validate OpenAI-compatible requests and build their responses."""
 
 import json
 import time
@@ -17,13 +17,13 @@
 
 
 class _Body(BaseModel):
-    """Take known fields; engines decide about the others."""
+    """Base of request bodies: fields that are not declared are ignored."""
 
     model_config = ConfigDict(extra="ignore")
 
 
 class StreamOptions(_Body):
-    """Ask for the usage at the end of a stream."""
+    """Options of a streamed response."""
 
     include_usage: bool = False
 
@@ -90,10 +90,10 @@
 
 
 def parse_body(shape: str, body: bytes) -> Result[ChatBody | CompletionBody, str]:
-    """Check a request's body."""
-    wanted = ChatBody if shape == "chat" else CompletionBody
+    """Validate a request body; return the first problem if it is invalid."""
+    body_type = ChatBody if shape == "chat" else CompletionBody
     try:
-        return Ok(wanted.model_validate_json(body))
+        return Ok(body_type.model_validate_json(body))
     except ValidationError as error:
         return Error(first_problem(error))
 
@@ -101,7 +101,7 @@
 def make_generation(
     body: ChatBody | CompletionBody, *, request_id: str, target: str, priority: int
 ) -> Generation:
-    """Turn a checked body into what an engine is asked."""
+    """Build the engine's request from a validated body."""
     chat = isinstance(body, ChatBody)
     return Generation(
         request_id=request_id,
@@ -117,7 +117,7 @@
 
 
 def collect_answer(events: bytes, generation: Generation) -> bytes:
-    """Join the events of a whole stream into one answer."""
+    """Join the events of a complete stream into one response body."""
     texts: list[str] = []
     finish_reason = None
     usage = None
@@ -130,7 +130,7 @@
             texts.append(_text_of(choice))
             finish_reason = choice.get("finish_reason") or finish_reason
     return json.dumps(
-        _answer(generation, "".join(texts), finish_reason, usage)
+        _response_body(generation, "".join(texts), finish_reason, usage)
     ).encode()
 
 
@@ -140,7 +140,7 @@
     return choice.get("text") or ""
 
 
-def _answer(
+def _response_body(
     generation: Generation, text: str, finish_reason: str | None, usage: Any
 ) -> dict[str, Any]:
     choice: dict[str, Any] = {
--- a/src/rosepath/poller.py
+++ b/src/rosepath/poller.py
@@ -1,4 +1,4 @@
-"""Load reports: polled by two entry VMs each, spread to the others as rows."""
+"""Poll load reports; two entry VMs poll each replica and gossip the rows."""
 
 import asyncio
 from collections.abc import Iterable
@@ -21,14 +21,14 @@
 
 
 def polled_by(me: str, replica: str, members: Iterable[str]) -> bool:
-    """Tell whether a node is one of the two that poll a replica."""
+    """Return whether an entry VM is one of the two that poll a replica."""
     return me in top(f"poll/{replica}", members, POLLERS)
 
 
 def sync_replicas(
     tables: Tables, configuration: Configuration, *, now_s: float
 ) -> None:
-    """Bring the replicas' rows in line with what is declared."""
+    """Update the replicas to match the declared backend servers."""
     declared = configuration.backend_servers
     for name in tables.replicas.keys() - declared.keys():
         del tables.replicas[name]
@@ -47,7 +47,7 @@
 
 
 def load_row(name: str, report: LoadReport, *, wall_s: float) -> Row:
-    """Encode a report; its version is the backend server's own time."""
+    """Encode a report; its version is the backend server's own clock."""
     lag_s = min(max(0.0, wall_s - report.at_s), MAX_LAG_S)
     targets = sorted(report.running_by_target)
     payload = LoadPayload(
@@ -67,13 +67,13 @@
 
 
 def unreachable_row(name: str, *, version: int) -> Row:
-    """Encode that a poller can't reach a backend server."""
+    """Return the row of a backend server that cannot be reached."""
     payload = LoadPayload(reachable=False)
     return Row(RowKey(RowKind.LOAD, name), version, payload.SerializeToString())
 
 
 def apply_load(replica: Replica, payload: bytes, *, now_s: float) -> bool:
-    """Take a load row into the table; return False if it can't be read."""
+    """Apply a load row to a replica; return False if it cannot be decoded."""
     message = LoadPayload()
     try:
         message.ParseFromString(payload)
@@ -98,8 +98,8 @@
     return True
 
 
-def load_says_leaving(payload: bytes) -> bool | None:
-    """Return whether a poller's own row says so; None if it says nothing."""
+def reported_leaving(payload: bytes) -> bool | None:
+    """Return whether the reported server is leaving; None if unreachable."""
     message = LoadPayload.FromString(payload)
     return message.leaving if message.reachable else None
 
@@ -107,25 +107,33 @@
 def smooth_demand(
     demand: dict[str, float], replicas: Iterable[Replica], *, weight: float
 ) -> None:
-    """Follow each base's running and queued requests, smoothed."""
-    seen: dict[str, float] = {}
+    """Update the moving average of each base model's demand.
+
+    Demand is the number of running and queued requests; `weight` is that of
+    the current value.
+    """
+    load_by_base: dict[str, float] = {}
     for replica in replicas:
         total = max(1, sum(replica.running_by_target.values()))
         for target, running in replica.running_by_target.items():
             base = base_of(target)
             queued = replica.queued * running / total
-            seen[base] = seen.get(base, 0.0) + running + queued
-    for base in {*demand, *seen}:
-        old = demand.get(base, 0.0)
-        new = old + weight * (seen.get(base, 0.0) - old)
-        if new < 0.01 and base not in seen:
+            load_by_base[base] = load_by_base.get(base, 0.0) + running + queued
+    for base in {*demand, *load_by_base}:
+        previous = demand.get(base, 0.0)
+        new = previous + weight * (load_by_base.get(base, 0.0) - previous)
+        if new < 0.01 and base not in load_by_base:
             del demand[base]
         else:
             demand[base] = new
 
 
 class Poller:
-    """Hold how often each poll failed, and poll."""
+    """Poll the replicas assigned to this entry VM.
+
+    Owns the count of consecutive failed polls of each replica; a replica is
+    published as unreachable after UNREACHABLE_AFTER of them.
+    """
 
     def __init__(
         self, tables: Tables, backend: BackendPort, *, me: str, clock: Clock
@@ -140,10 +148,10 @@
         self._assigned: list[str] = []
 
     def due(self, data_centre: str) -> list[Replica]:
-        """Return the replicas that this node polls.
+        """Return the replicas that this entry VM polls.
 
-        Hashing each replica with each member is done again only when one of
-        them came or went, not at every poll.
+        The assignment hashes each replica with each member, so it is cached
+        until a replica or member is added or removed.
         """
         replicas = self._tables.replicas
         members = local_members(self._tables.entry_vms, data_centre)
@@ -159,7 +167,7 @@
         return [replicas[name] for name in self._assigned]
 
     async def poll(self, replica: Replica) -> Row | None:
-        """Poll one replica; return the row to spread, if there is news."""
+        """Poll one replica; return the row to publish, if any."""
         try:
             report = await self._backend.report(replica.address)
         except ExchangeError:
@@ -175,6 +183,6 @@
         return row
 
     async def poll_all(self, data_centre: str) -> list[Row]:
-        """Poll every replica that is due, at once."""
+        """Poll all assigned replicas concurrently."""
         rows = await asyncio.gather(*(self.poll(r) for r in self.due(data_centre)))
         return [row for row in rows if row is not None]
--- a/src/rosepath/routing.py
+++ b/src/rosepath/routing.py
@@ -1,4 +1,4 @@
-"""Which replica takes a request: least predicted time to the first token."""
+"""Choose the replica with the least predicted time to the first token."""
 
 import random
 from collections.abc import Collection, Iterable, Sequence
@@ -14,7 +14,12 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class RoutingPolicy:
-    """Set how much affinity may unbalance the load."""
+    """Limits on the load imbalance that prefix affinity may cause.
+
+    A replica is chosen for affinity only while this entry VM's requests on it
+    stay below `affinity_slack` times the mean of all candidates, and its load
+    below `affinity_share_of_slots` of its slots.
+    """
 
     affinity_slack: float = 1.25
     affinity_share_of_slots: float = 0.75
@@ -22,7 +27,10 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class RoutingRequest:
-    """Describe a request as far as the choice depends on it."""
+    """The properties of a request that the choice of a replica depends on.
+
+    `prefix_home` is the replica that last received the request's prefix.
+    """
 
     target: str
     data_centre: str
@@ -32,10 +40,10 @@
 
 
 def predicted_first_token_s(replica: Replica, data_centre: str) -> float:
-    """Predict the wait for the first token from the load and own history."""
+    """Predict the time to the first token from load and slot times."""
     load = replica.load()
-    over = max(0.0, load + 1 - replica.slots)
-    wait_s = over * replica.hold_s / max(1, replica.slots)
+    queue_excess = max(0.0, load + 1 - replica.slots)
+    wait_s = queue_excess * replica.hold_s / max(1, replica.slots)
     wait_s += load * PREFILL_PER_LOAD_S
     if replica.data_centre != data_centre:
         wait_s += REMOTE_PENALTY_S
@@ -45,17 +53,17 @@
 
 
 def usable(replica: Replica, target: str) -> bool:
-    """Tell whether a replica may be sent new work for a target."""
+    """Return whether a replica accepts new requests for a target."""
     return replica.reachable and not replica.leaving and target in replica.resident
 
 
 def has_room_besides(
-    replicas: Iterable[Replica], target: str, *, unfit: Collection[str]
+    replicas: Iterable[Replica], target: str, *, excluded: Collection[str]
 ) -> bool:
-    """Tell whether a replica that is not unfit has a place for a target."""
+    """Return whether a replica that is not excluded has a free slot."""
     return any(
         usable(replica, target)
-        and replica.name not in unfit
+        and replica.name not in excluded
         and replica.load() < replica.slots
         for replica in replicas
     )
@@ -69,26 +77,28 @@
     now_s: float,
     rng: random.Random,
 ) -> Replica | None:
-    """Choose among replicas that can serve; None if there is none."""
-    able = [
+    """Choose a replica for a request; return None if none can serve it."""
+    candidates = [
         replica
         for replica in replicas
         if replica.name not in request.tried
         and usable(replica, request.target)
         and replica.backoff_until_s <= now_s
     ]
-    if not able:
+    if not candidates:
         return None
-    # A replica that failed lately goes behind the others but stays a
-    # candidate: if all of them failed, removing them would refuse requests
-    # that one of them could serve.
-    # One that is being drained may still hold the only copy for a while.
-    staying = [replica for replica in able if not replica.draining] or able
-    trusted = [replica for replica in staying if replica.suspect_until_s <= now_s]
-    pool = trusted or staying
-    home = _affine(pool, request, policy)
-    if home is not None:
-        return home
+    # Recently failed replicas are used only if no other is left, but are not
+    # removed: if all have failed, one of them may still serve the request.
+    # The same holds for a draining replica, which may for a while be the only
+    # one with the model loaded.
+    not_draining = [
+        replica for replica in candidates if not replica.draining
+    ] or candidates
+    healthy = [replica for replica in not_draining if replica.suspect_until_s <= now_s]
+    pool = healthy or not_draining
+    affinity_replica = _affinity_replica(pool, request, policy)
+    if affinity_replica is not None:
+        return affinity_replica
     return min(
         pool,
         key=lambda replica: (
@@ -98,15 +108,16 @@
     )
 
 
-def _affine(
+def _affinity_replica(
     pool: Sequence[Replica],
     request: RoutingRequest,
     policy: RoutingPolicy,
 ) -> Replica | None:
-    """Return the replica with the prefix unless its load is out of bounds.
+    """Return the replica with the prefix cached unless its load is too high.
 
-    The bound is on this router's own requests: all routers share the same
-    home for a prefix, and reports come too late to hold them back together.
+    The limit applies to this entry VM's own requests: all entry VMs choose
+    the same replica for a prefix, and load reports arrive too late to keep
+    their combined load within a limit.
     """
     if not request.prefix_key and request.prefix_home is None:
         return None
@@ -117,11 +128,14 @@
     if request.prefix_key:
         names += ranked(request.prefix_key, by_name)[:2]
     for name in names:
-        home = by_name[name] if name else None
-        if home is None or home.own_in_flight >= bound:
+        affinity_replica = by_name[name] if name else None
+        if affinity_replica is None or affinity_replica.own_in_flight >= bound:
             continue
-        if home.load() + 1 <= policy.affinity_share_of_slots * home.slots:
-            return home
+        if (
+            affinity_replica.load() + 1
+            <= policy.affinity_share_of_slots * affinity_replica.slots
+        ):
+            return affinity_replica
     return None
 
 
@@ -130,14 +144,14 @@
 
 
 def note_failure(replica: Replica, *, now_s: float) -> None:
-    """Put a replica behind the others for a while, longer each time."""
+    """Deprioritise a replica, with exponential backoff."""
     replica.failures += 1
-    pause_s = SUSPECT_BASE_S * 2 ** min(replica.failures - 1, 5)
-    replica.suspect_until_s = now_s + min(pause_s, SUSPECT_MAX_S)
+    backoff_s = SUSPECT_BASE_S * 2 ** min(replica.failures - 1, 5)
+    replica.suspect_until_s = now_s + min(backoff_s, SUSPECT_MAX_S)
 
 
 def note_success(replica: Replica, *, held_s: float) -> None:
-    """Restore trust and learn how long requests hold a slot."""
+    """Reset the failure count and update the mean slot time."""
     replica.failures = 0
     replica.suspect_until_s = 0.0
     replica.hold_s += 0.1 * (held_s - replica.hold_s)
--- a/src/rosepath/service_handler.py
+++ b/src/rosepath/service_handler.py
@@ -1,4 +1,4 @@
-"""Pass callers' requests on to plain services, bodies streamed both ways."""
+"""Handler of calls to plain services."""
 
 import asyncio
 from collections.abc import AsyncIterator, Awaitable
@@ -17,47 +17,51 @@
 from rosepath.http_client import ResponseHead
 from rosepath.services import HOP_HEADERS, ServiceCall
 
-HELD_BODY_BYTES = 64 * 1024
+MAX_BUFFERED_BODY_BYTES = 64 * 1024
 BODY_QUEUE_CHUNKS = 4
 
 
 @stream_request_body
 class ServiceHandler(Handler):
-    """Pass calls on to a plain service, bodies streamed both ways."""
+    """Relay a call to a plain service, streaming both bodies.
+
+    A request body of unknown or large size is relayed while it arrives; a
+    short one is read first, so that a failed call can be retried.
+    """
 
     def initialize(self, ports: CallerPorts) -> None:
         super().initialize(ports)
         self.chunks: asyncio.Queue[bytes | None] = asyncio.Queue(BODY_QUEUE_CHUNKS)
-        self.held: list[bytes] = []
-        self.early: asyncio.Task[None] | None = None
+        self.body_parts: list[bytes] = []
+        self.early_relay: asyncio.Task[None] | None = None
         self.streaming = False
 
     async def prepare(self) -> None:
         length = self.request.headers.get("Content-Length", "0")
         chunked = "Transfer-Encoding" in self.request.headers
-        self.streaming = chunked or int(length) > HELD_BODY_BYTES
+        self.streaming = chunked or int(length) > MAX_BUFFERED_BODY_BYTES
         connection: Any = self.request.connection
         connection.set_max_body_size(1 << 40)
         if self.streaming:
-            self.early = asyncio.ensure_future(self.run(self._pass_on))
+            self.early_relay = asyncio.ensure_future(self.run(self._relay_request))
 
     async def data_received(self, chunk: bytes) -> None:
         if not self.streaming:
-            self.held.append(chunk)
-        elif self.early is not None and not self.early.done():
-            putting = asyncio.ensure_future(self.chunks.put(chunk))
+            self.body_parts.append(chunk)
+        elif self.early_relay is not None and not self.early_relay.done():
+            put_task = asyncio.ensure_future(self.chunks.put(chunk))
             await asyncio.wait(
-                [putting, self.early], return_when=asyncio.FIRST_COMPLETED
+                [put_task, self.early_relay], return_when=asyncio.FIRST_COMPLETED
             )
-            putting.cancel()
+            put_task.cancel()
 
     async def _serve(self, *_: str) -> None:
-        if self.early is not None:
-            if not self.early.done():
+        if self.early_relay is not None:
+            if not self.early_relay.done():
                 await self.chunks.put(None)
-            await self.early
+            await self.early_relay
         else:
-            await self.run(self._pass_on)
+            await self.run(self._relay_request)
 
     get = head = post = put = delete = patch = options = _serve
 
@@ -65,7 +69,7 @@
         while (chunk := await self.chunks.get()) is not None:
             yield chunk
 
-    async def _pass_on(self) -> None:
+    async def _relay_request(self) -> None:
         self.check_ready()
         caller = self.authenticate()
         name = str(self.path_args[0])
@@ -79,7 +83,7 @@
                 step=Step.ROUTE,
             )
         method = self.request.method or "GET"
-        body = b"".join(self.held)
+        body = b"".join(self.body_parts)
         with trace.use_span(
             self.start_span("caller.call", service=name), end_on_exit=True
         ) as span:
@@ -112,18 +116,18 @@
     async def _relay(
         self, call: ServiceCall, terms: Terms, outcome: ClaimOutcome
     ) -> None:
-        kept: list[bytes] = []
+        recorded: list[bytes] = []
 
         def on_head(head: ResponseHead) -> None:
             self.set_status(head.status)
-            for name, value in _answer_headers(head.headers).items():
+            for name, value in _forwarded_headers(head.headers).items():
                 self.set_header(name, value)
             self.set_header("Rosepath-Request-Id", self.request_id)
 
         def on_data(data: bytes) -> Awaitable[None] | None:
             if outcome.wanted:
-                kept.append(data)
-            return self.send_ahead(data)
+                recorded.append(data)
+            return self.write_with_backpressure(data)
 
         await self.ports.relay.call(call, terms, on_head, on_data)
         headers = {
@@ -131,16 +135,16 @@
             for name, value in self._headers.get_all()
             if name.lower() == "content-type"
         }
-        outcome.set(self.get_status(), headers, b"".join(kept))
+        outcome.set(self.get_status(), headers, b"".join(recorded))
         await self.finish()
 
 
-def _answer_headers(headers: HTTPHeaders) -> dict[str, str]:
-    passed = {
+def _forwarded_headers(headers: HTTPHeaders) -> dict[str, str]:
+    forwarded = {
         name: value
         for name, value in headers.get_all()
         if name.lower() not in HOP_HEADERS
     }
     if "Content-Length" in headers:
-        passed["Content-Length"] = headers["Content-Length"]
-    return passed
+        forwarded["Content-Length"] = headers["Content-Length"]
+    return forwarded
--- a/src/rosepath/services.py
+++ b/src/rosepath/services.py
@@ -1,4 +1,4 @@
-"""Pass calls on to plain services, whole, and at most once where they must be."""
+"""Relay calls to plain services; retry only calls that are safe to repeat."""
 
 import asyncio
 from collections.abc import AsyncIterator, Awaitable, Callable, Mapping
@@ -23,7 +23,7 @@
 from rosepath.tables import Replica
 from rosepath.telemetry import traceparent_of
 
-HELD_ANSWER_BYTES = 256 * 1024
+MAX_BUFFERED_RESPONSE_BYTES = 256 * 1024
 MAX_ATTEMPTS = 4
 RUN_HEADER = "Rosepath-Run"
 HOP_HEADERS = frozenset(
@@ -45,7 +45,10 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class ServiceCall:
-    """Describe a call; its body is at hand or still arriving."""
+    """One call to a plain service.
+
+    The body is either complete in `body` or still arriving in `body_chunks`.
+    """
 
     service: str
     method: str
@@ -60,65 +63,72 @@
 
 
 @dataclass(slots=True)
-class _Answer:
-    """Hold back a short answer until it is whole; pass a long one on."""
+class _BufferedResponse:
+    """Buffer a short response until it is complete; stream a long one.
+
+    A response whose head says that the call did not run is never forwarded.
+    """
 
     on_head: OnHead
     on_data: OnData
     head: ResponseHead | None = None
-    held: list[bytes] = field(default_factory=list)
-    passing: bool = False
+    buffered: list[bytes] = field(default_factory=list)
+    streaming: bool = False
 
-    def take_head(self, head: ResponseHead) -> None:
+    def on_response_head(self, head: ResponseHead) -> None:
         self.head = head
         length = head.headers.get("Content-Length", "")
-        short = length.isdigit() and int(length) <= HELD_ANSWER_BYTES
+        short = length.isdigit() and int(length) <= MAX_BUFFERED_RESPONSE_BYTES
         if short or head.headers.get(RUN_HEADER) == "no":
             return
-        self.passing = True
+        self.streaming = True
         self.on_head(head)
 
-    def take_data(self, data: bytes) -> Awaitable[None] | None:
-        if self.passing:
+    def on_response_data(self, data: bytes) -> Awaitable[None] | None:
+        if self.streaming:
             return self.on_data(data)
-        self.held.append(data)
+        self.buffered.append(data)
         return None
 
     @property
-    def evidence_once_sent(self) -> Evidence:
-        # An answer that was held back is not lost on the caller: the call
-        # may be repeated if it is idempotent, as if no answer had begun.
-        return Evidence.ANSWER_BEGUN if self.passing else Evidence.SENT
-
-    async def release(self) -> None:
-        """Send what was held back, now that all of it is here."""
-        if self.passing or self.head is None:
+    def evidence_after_send(self) -> Evidence:
+        # The caller has received nothing of a buffered response, so an
+        # idempotent call may be retried as if no response had started.
+        return Evidence.ANSWER_BEGUN if self.streaming else Evidence.SENT
+
+    async def send_buffered(self) -> None:
+        """Send the complete buffered response to the caller."""
+        if self.streaming or self.head is None:
             return
         self.on_head(self.head)
-        if self.held:
-            await _maybe(self.on_data(b"".join(self.held)))
+        if self.buffered:
+            await _await_optional(self.on_data(b"".join(self.buffered)))
 
 
 @dataclass(slots=True)
-class _Course:
-    """Hold how a call has gone so far, over all its attempts.
+class _AttemptHistory:
+    """State of one call over all its attempts.
 
-    `paid` says that the budget was spent for what follows the present attempt.
+    `paid` is True once the retry that follows the current attempt has been
+    taken from the retry budget.
     """
 
     tried: set[str] = field(default_factory=set)
     refused: set[str] = field(default_factory=set)
-    seen: list[Evidence] = field(default_factory=list)
+    evidence_seen: list[Evidence] = field(default_factory=list)
     paid: bool = False
 
 
-async def _maybe(waiting: Awaitable[None] | None) -> None:
-    if waiting is not None:
-        await waiting
+async def _await_optional(awaitable: Awaitable[None] | None) -> None:
+    if awaitable is not None:
+        await awaitable
 
 
 class ServiceRelay:
-    """Run calls to plain services over the tables."""
+    """Run calls to plain services on the replicas of the tables.
+
+    Shares the dispatcher's retry budget and routing settings.
+    """
 
     def __init__(self, dispatcher: Dispatcher, pool: HttpPool) -> None:
         self._dispatcher = dispatcher
@@ -127,36 +137,40 @@
     async def call(
         self, call: ServiceCall, terms: Terms, on_head: OnHead, on_data: OnData
     ) -> None:
-        """Pass a call on; raises RefusalError if it can't be answered."""
-        course = _Course()
+        """Relay a call, with retries; raise RefusalError if it fails."""
+        history = _AttemptHistory()
         self._dispatcher.budget.earn()
         while True:
-            replica = await self._choose(call.service, terms, course)
-            answer = _Answer(on_head, on_data)
-            evidence, error = await self._attempt(replica, call, terms, answer, course)
+            replica = await self._choose(call.service, terms, history)
+            response = _BufferedResponse(on_head, on_data)
+            evidence, error = await self._attempt(
+                replica, call, terms, response, history
+            )
             if evidence is None:
-                await answer.release()
+                await response.send_buffered()
                 return
-            course.seen.append(evidence)
-            course.tried.add(replica.name)
+            history.evidence_seen.append(evidence)
+            history.tried.add(replica.name)
             if evidence is Evidence.REFUSED:
-                course.refused.add(replica.name)
-            self._judge(replica, call, terms, course, error)
+                history.refused.add(replica.name)
+            self._check_retry(replica, call, terms, history, error)
 
-    async def _choose(self, service: str, terms: Terms, course: _Course) -> Replica:
+    async def _choose(
+        self, service: str, terms: Terms, history: _AttemptHistory
+    ) -> Replica:
         request = RoutingRequest(
             target=service,
             data_centre=terms.data_centre,
-            tried=frozenset(course.tried),
+            tried=frozenset(history.tried),
         )
-        replica = await self._dispatcher.choose_again(
+        replica = await self._dispatcher.choose_with_fallback(
             self._servers_of(service), request, refused=frozenset()
         )
         if replica is not None:
             return replica
-        if course.seen:
-            raise _given_up(
-                course.seen,
+        if history.evidence_seen:
+            raise _attempts_failed(
+                history.evidence_seen,
                 "",
                 "no other server is left",
                 retry_after_s=self._retry_after_s(service),
@@ -170,10 +184,12 @@
         )
 
     def _retry_after_s(self, service: str) -> float:
-        """Return when the first server may take a call again that sheds them now."""
+        """Return how long until the first server's backoff ends, at least 1 s."""
         now_s = asyncio.get_running_loop().time()
-        left_s = [one.backoff_until_s - now_s for one in self._servers_of(service)]
-        return max(1.0, min(left_s, default=0.0))
+        backoffs_s = [
+            replica.backoff_until_s - now_s for replica in self._servers_of(service)
+        ]
+        return max(1.0, min(backoffs_s, default=0.0))
 
     def _servers_of(self, service: str) -> list[Replica]:
         return [
@@ -187,29 +203,29 @@
         replica: Replica,
         call: ServiceCall,
         terms: Terms,
-        answer: _Answer,
-        course: _Course,
+        response: _BufferedResponse,
+        history: _AttemptHistory,
     ) -> tuple[Evidence | None, str]:
-        """Make one attempt; return evidence and error if it failed."""
+        """Make one attempt; return the evidence and error of a failure."""
         clock_s = asyncio.get_running_loop().time
         started_s = clock_s()
         key = f"{id(call)}.{started_s}"
         settings = self._dispatcher.settings
 
         def may_break_off() -> bool:
-            course.paid = self._dispatcher.leaves_silent(
+            history.paid = self._dispatcher.may_abort_attempt(
                 _as_attempt(
-                    answer.evidence_once_sent,
+                    response.evidence_after_send,
                     call,
                     terms,
-                    course,
-                    attempts=len(course.seen) + 1,
+                    history,
+                    attempts=len(history.evidence_seen) + 1,
                 ),
                 self._servers_of(call.service),
                 call.service,
-                unfit={replica.name, *course.refused},
+                excluded={replica.name, *history.refused},
             )
-            return course.paid
+            return history.paid
 
         context = trace.set_span_in_context(terms.span)
         with self._dispatcher.telemetry.tracer.start_as_current_span(
@@ -219,7 +235,7 @@
                 address=replica.address,
                 method=call.method,
                 path=call.path,
-                headers=_passed_headers(call.headers, traceparent_of(span)),
+                headers=_forwarded_headers(call.headers, traceparent_of(span)),
                 body=call.body,
                 body_chunks=call.body_chunks,
                 connect_timeout_s=settings.connect_timeout_s,
@@ -233,65 +249,69 @@
             try:
                 async with ended_in_time(terms.deadline_s - started_s, replica.name):
                     head = await self._pool.exchange(
-                        request, on_head=answer.take_head, on_data=answer.take_data
+                        request,
+                        on_head=response.on_response_head,
+                        on_data=response.on_response_data,
                     )
             except ExchangeError as error:
                 note_failure(replica, now_s=clock_s())
-                sent = answer.evidence_once_sent
-                return sent if error.sent else Evidence.NOT_SENT, str(error)
+                evidence = response.evidence_after_send
+                return evidence if error.sent else Evidence.NOT_SENT, str(error)
             finally:
                 replica.own_starts.pop(key, None)
         if head.headers.get(RUN_HEADER) == "no":
-            back_s = clock_s() + read_retry_after_s(head.headers)
-            replica.backoff_until_s = max(replica.backoff_until_s, back_s)
+            retry_at_s = clock_s() + read_retry_after_s(head.headers)
+            replica.backoff_until_s = max(replica.backoff_until_s, retry_at_s)
             return Evidence.REFUSED, f"{replica.name} refused before running"
         note_success(replica, held_s=clock_s() - started_s)
         return None, ""
 
-    def _judge(
+    def _check_retry(
         self,
         replica: Replica,
         call: ServiceCall,
         terms: Terms,
-        course: _Course,
+        history: _AttemptHistory,
         error: str,
     ) -> None:
-        seen = course.seen
-        attempt = _as_attempt(seen[-1], call, terms, course, attempts=len(seen))
-        course.paid = False
+        evidence_seen = history.evidence_seen
+        attempt = _as_attempt(
+            evidence_seen[-1], call, terms, history, attempts=len(evidence_seen)
+        )
+        history.paid = False
         if judge(attempt, self._dispatcher.budget) is Verdict.GIVE_UP:
-            raise _given_up(seen, replica.name, error)
+            raise _attempts_failed(evidence_seen, replica.name, error)
 
 
 def _as_attempt(
     evidence: Evidence,
     call: ServiceCall,
     terms: Terms,
-    course: _Course,
+    history: _AttemptHistory,
     *,
     attempts: int,
 ) -> Attempt:
-    # A body that is still arriving can't be sent a second time.
-    spent = call.body_chunks is not None and evidence is not Evidence.NOT_SENT
+    # A body that was streamed from the caller cannot be sent a second time.
+    body_consumed = call.body_chunks is not None and evidence is not Evidence.NOT_SENT
     return Attempt(
         evidence=evidence,
-        idempotent=terms.idempotent and not spent,
+        idempotent=terms.idempotent and not body_consumed,
         resumable=False,
-        attempts=MAX_ATTEMPTS if spent else attempts,
+        attempts=MAX_ATTEMPTS if body_consumed else attempts,
         max_attempts=MAX_ATTEMPTS,
         left_s=terms.deadline_s - asyncio.get_running_loop().time(),
-        paid=course.paid,
+        paid=history.paid,
     )
 
 
-def _given_up(
-    seen: list[Evidence], peer: str, error: str, *, retry_after_s: float = 1.0
+def _attempts_failed(
+    evidence_seen: list[Evidence], peer: str, error: str, *, retry_after_s: float = 1.0
 ) -> RefusalError:
-    run = run_of(worst_evidence(seen))
+    run = run_of(worst_evidence(evidence_seen))
     return refuse(
         503 if run is Run.NO else 502,
         "backend_failed",
-        f"{len(seen)} attempts failed; the last: {error}",
+        f"{len(evidence_seen)} attempts failed; the last: {error}",
         step=Step.SEND,
         run=run,
         peer=peer,
@@ -299,12 +319,12 @@
     )
 
 
-def _passed_headers(headers: Mapping[str, str], traceparent: str) -> dict[str, str]:
-    passed = {
+def _forwarded_headers(headers: Mapping[str, str], traceparent: str) -> dict[str, str]:
+    forwarded = {
         name: value
         for name, value in headers.items()
         if name.lower() not in HOP_HEADERS
     }
     if traceparent:
-        passed["Traceparent"] = traceparent
-    return passed
+        forwarded["Traceparent"] = traceparent
+    return forwarded
--- a/src/rosepath/streams.py
+++ b/src/rosepath/streams.py
@@ -1,8 +1,8 @@
-"""Check that a stream's chunks belong to one request, in order, to the end.
+"""Check that a stream's events belong to one request and are complete.
 
-An engine's event carries the id `REQUEST/FROM-TO` in its first line, counted
-in tokens, and the closing events `REQUEST/AT-end`. The events pass on as they
-came; only the ids are looked at.
+The first line of an engine's event has the id `REQUEST/FROM-TO`, where FROM
+and TO are token offsets; the first of the end events has `REQUEST/AT-end`.
+Only the ids are parsed: accepted events are forwarded unchanged.
 """
 
 from collections.abc import Iterator
@@ -14,8 +14,8 @@
 MAX_EVENT_BYTES = 1 << 20
 
 
-class Dropped(StrEnum):
-    """Say why an event was not passed on."""
+class DropReason(StrEnum):
+    """Reason why an event was not forwarded."""
 
     OTHER_REQUEST = "other_request"
     DUPLICATE = "duplicate"
@@ -24,46 +24,53 @@
 
 
 class StreamBrokenError(Exception):
-    """The stream can't go on: something is missing or unreadable."""
+    """The stream cannot continue: events are missing or unreadable."""
 
 
 @dataclass(slots=True)
 class StreamChecker:
-    """Hold how far a request's stream has come, over all its attempts."""
+    """Filter one request's stream, over all its attempts.
+
+    Forwards each token exactly once and in order. `offset` is the number of
+    tokens forwarded so far, at which a further attempt resumes.
+    """
 
     request_id: str
     offset: int = 0
     complete: bool = False
-    dropped: dict[Dropped, int] = field(default_factory=dict)
+    dropped: dict[DropReason, int] = field(default_factory=dict)
     _pending: bytes = b""
     _prefix: bytes = b""
 
     def __post_init__(self) -> None:
         self._prefix = f"id: {self.request_id}/".encode()
 
-    def restart(self) -> None:
-        """Forget an unfinished event of the attempt that broke."""
+    def discard_partial_event(self) -> None:
+        """Discard the partial event that a failed attempt left."""
         self._pending = b""
 
     def feed(self, data: bytes) -> bytes:
-        """Take bytes of the stream; return the events to pass on."""
+        """Parse received bytes; return the events to forward.
+
+        Raise StreamBrokenError if tokens are missing or an event is too large.
+        """
         if self.complete:
-            self._drop(Dropped.DUPLICATE)
+            self._drop(DropReason.DUPLICATE)
             return b""
         self._pending += data
-        passed = b"".join(self._take_events())
+        forwarded = b"".join(self._take_events())
         if len(self._pending) > MAX_EVENT_BYTES:
             raise StreamBrokenError("an event is too large")
-        return passed
+        return forwarded
 
     def _take_events(self) -> Iterator[bytes]:
         while (at := self._pending.find(_SEPARATOR)) >= 0:
             event = self._pending[: at + 2]
             if event.startswith(self._prefix) and self._is_end(event):
-                closing = self._take_closing()
-                if closing is None:
+                end_events = self._take_end()
+                if end_events is None:
                     return
-                yield closing
+                yield end_events
                 return
             self._pending = self._pending[at + 2 :]
             if self._accept(event):
@@ -72,37 +79,37 @@
     def _is_end(self, event: bytes) -> bool:
         return event[: event.find(b"\n")].endswith(b"-end")
 
-    def _take_closing(self) -> bytes | None:
-        """Take the closing events once all are there; they pass as one."""
+    def _take_end(self) -> bytes | None:
+        """Return the end events as one block once all have arrived."""
         at = self._pending.find(_DONE)
         if at < 0:
             return None
-        closing = self._pending[: at + len(_DONE)]
+        end_events = self._pending[: at + len(_DONE)]
         self._pending = self._pending[at + len(_DONE) :]
-        line = closing[len(self._prefix) : closing.find(b"\n")]
+        line = end_events[len(self._prefix) : end_events.find(b"\n")]
         if not line[:-4].isdigit() or int(line[:-4]) != self.offset:
-            self._drop(Dropped.GAP)
+            self._drop(DropReason.GAP)
             raise StreamBrokenError("the end does not follow the last token")
         self.complete = True
-        return closing
+        return end_events
 
     def _accept(self, event: bytes) -> bool:
         line = event[: event.find(b"\n")]
         if not line.startswith(self._prefix):
-            self._drop(Dropped.OTHER_REQUEST)
+            self._drop(DropReason.OTHER_REQUEST)
             return False
         start, separator, end = line[len(self._prefix) :].partition(b"-")
         if not (separator and start.isdigit() and end.isdigit()):
-            self._drop(Dropped.UNREADABLE)
+            self._drop(DropReason.UNREADABLE)
             return False
         if int(start) == self.offset and int(end) > self.offset:
             self.offset = int(end)
             return True
         if int(start) < self.offset:
-            self._drop(Dropped.DUPLICATE)
+            self._drop(DropReason.DUPLICATE)
             return False
-        self._drop(Dropped.GAP)
+        self._drop(DropReason.GAP)
         raise StreamBrokenError(f"tokens {self.offset} to {int(start)} are missing")
 
-    def _drop(self, reason: Dropped) -> None:
+    def _drop(self, reason: DropReason) -> None:
         self.dropped[reason] = self.dropped.get(reason, 0) + 1
--- a/src/rosepath/variants.py
+++ b/src/rosepath/variants.py
@@ -1,4 +1,4 @@
-"""Which variant answers a request: the same on every entry VM."""
+"""Choose a route's variant by a hash, the same on every entry VM."""
 
 import xxhash
 
@@ -9,12 +9,12 @@
 
 
 def pick_variant(variants: tuple[Variant, ...], key: str) -> str:
-    """Pick a target by a stable hash, so that each gets its declared share."""
+    """Pick a target by a stable hash, in proportion to the declared shares."""
     point = xxhash.xxh3_64_intdigest(key.encode()) / _SCALE
-    reached = 0.0
+    cumulative_share = 0.0
     for variant in variants:
-        reached += variant.share
-        if point < reached:
+        cumulative_share += variant.share
+        if point < cumulative_share:
             return variant.target
     return max(variants, key=lambda variant: variant.share).target
 
@@ -22,7 +22,7 @@
 def find_route(
     configuration: Configuration, name: str, caller: str
 ) -> tuple[str, Route] | None:
-    """Return the route for a name that names this caller most narrowly."""
+    """Return the most specific route of this name for a caller."""
     found = [
         (key, route)
         for key, route in configuration.routes.items()
@@ -36,7 +36,7 @@
 def resolve_target(
     configuration: Configuration, name: str, caller: str, request_key: str
 ) -> str | None:
-    """Return the target that answers a request, or None if nothing does."""
+    """Return the target that serves a request, or None if there is none."""
     found = find_route(configuration, name, caller)
     if found is not None:
         key, route = found
--- a/tests/test_poller.py
+++ b/tests/test_poller.py
@@ -1,12 +1,12 @@
-"""Load reports: polled by two, read from any bytes, demand smoothed."""
+"""Assignment of polls, decoding of load reports, smoothing of demand."""
 
 from builders import configuration, engine_operation, operation, replica
 from hypothesis import given, strategies as st
 
 from rosepath.poller import (
     apply_load,
-    load_says_leaving,
     polled_by,
+    reported_leaving,
     smooth_demand,
     sync_replicas,
     unreachable_row,
@@ -17,12 +17,12 @@
 MEMBERS = [f"entry-{n}" for n in range(8)]
 
 
-def test_each_replica_is_polled_by_two() -> None:
+def test_each_replica_is_polled_by_two_entry_vms() -> None:
     for name in ("a", "b", "c"):
         assert sum(polled_by(me, name, MEMBERS) for me in MEMBERS) == 2
 
 
-def test_a_member_that_leaves_moves_only_its_own_polls() -> None:
+def test_removing_an_entry_vm_reassigns_only_its_polls() -> None:
     names = [f"r{n}" for n in range(50)]
     before = {n: {m for m in MEMBERS if polled_by(m, n, MEMBERS)} for n in names}
     fewer = MEMBERS[1:]
@@ -31,25 +31,25 @@
 
 
 @given(st.binary(max_size=100))
-def test_any_bytes_are_read_or_refused(payload: bytes) -> None:
+def test_arbitrary_bytes_do_not_raise(payload: bytes) -> None:
     apply_load(replica("a"), payload, now_s=0.0)
 
 
-def test_an_unreachable_row_keeps_what_was_known() -> None:
+def test_an_unreachable_row_keeps_the_last_reported_load() -> None:
     row = replica("a", running=3)
     apply_load(row, unreachable_row("a", version=1).payload, now_s=0.0)
     assert (row.reachable, row.running) == (False, 3)
-    assert load_says_leaving(unreachable_row("a", version=1).payload) is None
+    assert reported_leaving(unreachable_row("a", version=1).payload) is None
 
 
-def test_a_lagging_report_is_dated_back() -> None:
+def test_report_time_is_corrected_by_the_report_lag() -> None:
     row = replica("a")
     payload = LoadPayload(reachable=True, report_lag_ms=500, resident=["m"])
     apply_load(row, payload.SerializeToString(), now_s=10.0)
     assert row.reported_at_s == 9.5
 
 
-def test_rows_follow_the_declarations() -> None:
+def test_sync_removes_undeclared_and_marks_draining_replicas() -> None:
     tables = Tables()
     both = configuration(engine_operation("a"), engine_operation("b"))
     sync_replicas(tables, both, now_s=0.0)
@@ -58,7 +58,7 @@
     assert {n: row.draining for n, row in tables.replicas.items()} == {"a": True}
 
 
-def test_demand_follows_what_runs_and_fades() -> None:
+def test_demand_converges_to_the_load_and_decays_without_it() -> None:
     demand: dict[str, float] = {}
     busy = replica("a", running_by_target={"m": 4, "m:x": 2}, queued=6)
     for _ in range(60):
