--- a/tests/test_promises.py
+++ b/tests/test_promises.py
@@ -1,4 +1,4 @@
-"""The promises of the brief, under failure, with real processes."""
+"""Guarantees to callers under failures, tested with real processes."""
 
 import asyncio
 import json
@@ -21,8 +21,8 @@
 
 
 @dataclass
-class Seen:
-    """Hold what a scenario's caller saw."""
+class CallerView:
+    """What the caller of a scenario received."""
 
     status: int = 0
     body: bytes = b""
@@ -30,7 +30,7 @@
     tokens: int = 0
     run_key: str = ""
     key: str = ""
-    earlier: bytes = b""
+    first_body: bytes = b""
     engine: str = ""
     left_at_s: float = 0.0
     texts: list[str] = field(default_factory=list)
@@ -39,8 +39,8 @@
 
 
 @pytest.fixture
-def seen() -> Seen:
-    return Seen()
+def caller_view() -> CallerView:
+    return CallerView()
 
 
 def headers(**more: str) -> dict[str, str]:
@@ -89,27 +89,27 @@
 
 
 async def file_claim(
-    deployment: Deployment, seen: Seen, entry_vm: str = "entry-1"
+    deployment: Deployment, caller_view: CallerView, entry_vm: str = "entry-1"
 ) -> None:
-    given_ = {"X_Run_Key": seen.run_key}
-    if seen.key:
-        given_["Idempotency_Key"] = seen.key
-    head, seen.body = await deployment.request(
+    extra_headers = {"X_Run_Key": caller_view.run_key}
+    if caller_view.key:
+        extra_headers["Idempotency_Key"] = caller_view.key
+    head, caller_view.body = await deployment.request(
         deployment.daemons[entry_vm].callers,
         "POST",
         "/services/greffe-api/claims",
         body=b"claim",
-        headers=headers(**given_),
+        headers=headers(**extra_headers),
     )
-    seen.status = head.status
+    caller_view.status = head.status
 
 
-async def service_runs(deployment: Deployment, run_key: str) -> int:
+async def count_service_runs(deployment: Deployment, run_key: str) -> int:
     records = [await deployment.record(p) for p in deployment.services.values()]
     return sum(record["runs"].get(run_key, 0) for record in records)
 
 
-async def arm(
+async def inject_fault(
     deployment: Deployment, kind: str, name: str, *, count: int = 1, value: float = 0
 ) -> None:
     processes = deployment.engines if kind == "engine" else deployment.services
@@ -119,38 +119,42 @@
 
 @given("a deployment of three entry VMs")
 def _deployment(deployment: Deployment) -> None:
-    """Started by the fixture."""
+    """Do nothing: the fixture starts the deployment."""
 
 
 @given(parsers.parse("every engine cuts its next stream at token {at:d}"))
 def _cut(deployment: Deployment, at: int) -> None:
-    deployment.background.run(arm(deployment, "engine", "cut_stream", value=at))
+    deployment.background.run(
+        inject_fault(deployment, "engine", "cut_stream", value=at)
+    )
 
 
 @given("every engine sends somebody else's chunk and a repeated one")
 def _mixed(deployment: Deployment) -> None:
-    deployment.background.run(arm(deployment, "engine", "wrong_id", count=3))
-    deployment.background.run(arm(deployment, "engine", "duplicate_chunk", count=3))
+    deployment.background.run(inject_fault(deployment, "engine", "wrong_id", count=3))
+    deployment.background.run(
+        inject_fault(deployment, "engine", "duplicate_chunk", count=3)
+    )
 
 
 @given("every engine goes silent in its next stream")
 def _silent(deployment: Deployment) -> None:
-    deployment.background.run(arm(deployment, "engine", "silent_stream"))
+    deployment.background.run(inject_fault(deployment, "engine", "silent_stream"))
 
 
 @given("every engine loses the end of its next stream")
 def _lose_end(deployment: Deployment) -> None:
-    deployment.background.run(arm(deployment, "engine", "lose_end"))
+    deployment.background.run(inject_fault(deployment, "engine", "lose_end"))
 
 
 @given("every service server loses its next reply")
 def _lose_reply(deployment: Deployment) -> None:
-    deployment.background.run(arm(deployment, "service", "lose_reply"))
+    deployment.background.run(inject_fault(deployment, "service", "lose_reply"))
 
 
 @given("every service server cuts its next answer")
 def _cut_answer(deployment: Deployment) -> None:
-    deployment.background.run(arm(deployment, "service", "cut_answer"))
+    deployment.background.run(inject_fault(deployment, "service", "cut_answer"))
 
 
 @given("one service server refuses its next call")
@@ -174,9 +178,9 @@
 
 
 @when(parsers.parse("a caller streams {tokens:d} tokens"))
-def _stream(deployment: Deployment, seen: Seen, tokens: int) -> None:
-    head, seen.body = deployment.background.run(stream(deployment, tokens))
-    seen.status, seen.tokens = head.status, tokens
+def _stream(deployment: Deployment, caller_view: CallerView, tokens: int) -> None:
+    head, caller_view.body = deployment.background.run(stream(deployment, tokens))
+    caller_view.status, caller_view.tokens = head.status, tokens
 
 
 @when(parsers.parse("a caller streams {tokens:d} tokens and every engine is killed"))
@@ -185,15 +189,17 @@
         "a caller streams {tokens:d} tokens and every engine is killed meanwhile"
     )
 )
-def _stream_and_kill(deployment: Deployment, seen: Seen, tokens: int) -> None:
-    # Killed before the first event, the engines leave a request that may be
-    # refused whole: only what the caller has received makes it partial.
+def _stream_and_kill(
+    deployment: Deployment, caller_view: CallerView, tokens: int
+) -> None:
+    # Wait for the first event: the run is "partial" only once the caller has
+    # received part of the response.
     async def run() -> None:
-        pool, begun, body = HttpPool(), asyncio.Event(), bytearray()
+        pool, first_data, body = HttpPool(), asyncio.Event(), bytearray()
 
         def on_data(data: bytes) -> None:
             body.extend(data)
-            begun.set()
+            first_data.set()
 
         request = Request(
             address=deployment.daemons["entry-1"].callers,
@@ -206,17 +212,17 @@
         streaming = asyncio.ensure_future(
             pool.exchange(request, on_head=lambda _: None, on_data=on_data)
         )
-        await begun.wait()
+        await first_data.wait()
         for engine in deployment.engines.values():
             engine.kill()
-        seen.status = (await streaming).status
-        seen.body = bytes(body)
+        caller_view.status = (await streaming).status
+        caller_view.body = bytes(body)
         pool.close()
 
     deployment.background.run(run())
 
 
-async def some_engine_runs(deployment: Deployment) -> str:
+async def find_busy_engine(deployment: Deployment) -> str:
     for name, process in deployment.engines.items():
         record = await deployment.record(process)
         if len(record["started"]) > len(record["finished"]) + len(record["cancelled"]):
@@ -225,10 +231,12 @@
 
 
 @when(parsers.parse("a caller hangs up in a stream of {tokens:d} tokens"))
-def _hang_up(deployment: Deployment, seen: Seen, tokens: int) -> None:
+def _hang_up(deployment: Deployment, caller_view: CallerView, tokens: int) -> None:
     async def run() -> None:
         streaming = asyncio.ensure_future(stream(deployment, tokens))
-        seen.engine = await deployment.until(lambda: some_engine_runs(deployment))
+        caller_view.engine = await deployment.until(
+            lambda: find_busy_engine(deployment)
+        )
         streaming.cancel()
         await asyncio.wait([streaming])
 
@@ -236,26 +244,26 @@
 
 
 @when("a caller files a claim")
-def _file(deployment: Deployment, seen: Seen) -> None:
-    seen.run_key = uuid.uuid4().hex
-    deployment.background.run(file_claim(deployment, seen))
+def _file(deployment: Deployment, caller_view: CallerView) -> None:
+    caller_view.run_key = uuid.uuid4().hex
+    deployment.background.run(file_claim(deployment, caller_view))
 
 
 @when("a caller files a claim under a key")
-def _file_with_key(deployment: Deployment, seen: Seen) -> None:
-    seen.run_key = seen.key = uuid.uuid4().hex
-    deployment.background.run(file_claim(deployment, seen))
+def _file_with_key(deployment: Deployment, caller_view: CallerView) -> None:
+    caller_view.run_key = caller_view.key = uuid.uuid4().hex
+    deployment.background.run(file_claim(deployment, caller_view))
 
 
 @when("it repeats that through another entry VM")
-def _repeat(deployment: Deployment, seen: Seen) -> None:
-    seen.earlier = seen.body
-    deployment.background.run(file_claim(deployment, seen, "entry-2"))
+def _repeat(deployment: Deployment, caller_view: CallerView) -> None:
+    caller_view.first_body = caller_view.body
+    deployment.background.run(file_claim(deployment, caller_view, "entry-2"))
 
 
 @when(parsers.parse("a caller fetches {size:d} bytes"))
-def _fetch(deployment: Deployment, seen: Seen, size: int) -> None:
-    head, seen.body = deployment.background.run(
+def _fetch(deployment: Deployment, caller_view: CallerView, size: int) -> None:
+    head, caller_view.body = deployment.background.run(
         deployment.request(
             deployment.daemons["entry-1"].callers,
             "GET",
@@ -263,22 +271,24 @@
             headers=headers(),
         )
     )
-    seen.status, seen.tokens = head.status, size
+    caller_view.status, caller_view.tokens = head.status, size
 
 
 @when("an engine starts leaving while callers go on")
-def _leave(deployment: Deployment, seen: Seen) -> None:
+def _leave(deployment: Deployment, caller_view: CallerView) -> None:
     async def run() -> None:
-        seen.engine = (await deployment.holders("court-rules"))[0]
-        engine = deployment.engines[seen.engine]
+        caller_view.engine = (await deployment.holders("court-rules"))[0]
+        engine = deployment.engines[caller_view.engine]
         loop = asyncio.get_running_loop()
         ends_s = loop.time() + 6.0
         await deployment.json(engine.address, "/admin/leave", method="POST")
-        seen.left_at_s = (await deployment.json(engine.address, "/report"))["at_s"]
+        caller_view.left_at_s = (await deployment.json(engine.address, "/report"))[
+            "at_s"
+        ]
         while loop.time() < ends_s:
             head, body = await stream(deployment, 5)
             if head.status == 200:
-                seen.texts.append(text_of(body))
+                caller_view.texts.append(text_of(body))
 
     deployment.background.run(run())
 
@@ -288,21 +298,21 @@
         "an entry VM is stopped while it serves a stream of {tokens:d} tokens"
     )
 )
-def _stop(deployment: Deployment, seen: Seen, tokens: int) -> None:
+def _stop(deployment: Deployment, caller_view: CallerView, tokens: int) -> None:
     async def run() -> None:
         streaming = asyncio.ensure_future(stream(deployment, tokens, "entry-2"))
-        await deployment.until(lambda: some_engine_runs(deployment))
+        await deployment.until(lambda: find_busy_engine(deployment))
         process = deployment.daemons["entry-2"].process
         process.signal(signal.SIGTERM)
-        head, seen.body = await streaming
-        seen.status, seen.tokens = head.status, tokens
-        seen.exit_code = await asyncio.to_thread(process.wait, 20)
+        head, caller_view.body = await streaming
+        caller_view.status, caller_view.tokens = head.status, tokens
+        caller_view.exit_code = await asyncio.to_thread(process.wait, 20)
 
     deployment.background.run(run())
 
 
 @given("a deferred request that must wait")
-def _defer(deployment: Deployment, seen: Seen) -> None:
+def _defer(deployment: Deployment, caller_view: CallerView) -> None:
     async def run() -> None:
         report = await deployment.json(
             deployment.engines["engine-1"].address, "/report"
@@ -320,7 +330,7 @@
             headers=headers(Rosepath_Idempotent="false"),
         )
         assert head.status == 202, answer
-        seen.deferred_id = json.loads(answer)["id"]
+        caller_view.deferred_id = json.loads(answer)["id"]
 
     deployment.background.run(run())
 
@@ -339,29 +349,31 @@
 
 
 @then("the answer is whole")
-def _whole(seen: Seen) -> None:
-    assert seen.status == 200, seen.body
-    assert text_of(seen.body) == answer_text("court-rules", PROMPT, seen.tokens)
-    assert seen.body.endswith(b"data: [DONE]\n\n")
+def _whole(caller_view: CallerView) -> None:
+    assert caller_view.status == 200, caller_view.body
+    assert text_of(caller_view.body) == answer_text(
+        "court-rules", PROMPT, caller_view.tokens
+    )
+    assert caller_view.body.endswith(b"data: [DONE]\n\n")
 
 
 @then("no token came twice")
-def _once(seen: Seen) -> None:
-    ids = [line for line in seen.body.split(b"\n") if line.startswith(b"id: ")]
-    assert len(ids) == len(set(ids)) == seen.tokens + 1
+def _once(caller_view: CallerView) -> None:
+    ids = [line for line in caller_view.body.split(b"\n") if line.startswith(b"id: ")]
+    assert len(ids) == len(set(ids)) == caller_view.tokens + 1
 
 
 @then("the stream ends with an error whose run is partial")
-def _partial(seen: Seen) -> None:
-    last = events_of(seen.body)[-1]
+def _partial(caller_view: CallerView) -> None:
+    last = events_of(caller_view.body)[-1]
     assert last["error"]["run"] == "partial"
-    assert b"[DONE]" not in seen.body
+    assert b"[DONE]" not in caller_view.body
 
 
 @then("the engine stops generating within a second")
-def _cancelled(deployment: Deployment, seen: Seen) -> None:
+def _cancelled(deployment: Deployment, caller_view: CallerView) -> None:
     async def run() -> bool:
-        record = await deployment.record(deployment.engines[seen.engine])
+        record = await deployment.record(deployment.engines[caller_view.engine])
         return bool(record["cancelled"])
 
     deployment.background.run(
@@ -370,63 +382,72 @@
 
 
 @then(parsers.parse("the answer is {status:d} with run {run}"))
-def _refused(seen: Seen, status: int, run: str) -> None:
-    assert (seen.status, json.loads(seen.body)["error"]["run"]) == (status, run)
+def _refused(caller_view: CallerView, status: int, run: str) -> None:
+    assert (caller_view.status, json.loads(caller_view.body)["error"]["run"]) == (
+        status,
+        run,
+    )
 
 
 @then(parsers.parse("the answer is {status:d}"))
-def _status(seen: Seen, status: int) -> None:
-    assert seen.status == status, seen.body
+def _status(caller_view: CallerView, status: int) -> None:
+    assert caller_view.status == status, caller_view.body
 
 
 @then("both answers are the same")
-def _same(seen: Seen) -> None:
-    assert seen.status == 200
-    assert seen.body == seen.earlier
+def _same(caller_view: CallerView) -> None:
+    assert caller_view.status == 200
+    assert caller_view.body == caller_view.first_body
 
 
 @then("the claim ran once")
-def _ran_once(deployment: Deployment, seen: Seen) -> None:
-    assert deployment.background.run(service_runs(deployment, seen.run_key)) == 1
+def _ran_once(deployment: Deployment, caller_view: CallerView) -> None:
+    assert (
+        deployment.background.run(count_service_runs(deployment, caller_view.run_key))
+        == 1
+    )
 
 
 @then("the claim never ran")
-def _never_ran(deployment: Deployment, seen: Seen) -> None:
-    assert deployment.background.run(service_runs(deployment, seen.run_key)) == 0
+def _never_ran(deployment: Deployment, caller_view: CallerView) -> None:
+    assert (
+        deployment.background.run(count_service_runs(deployment, caller_view.run_key))
+        == 0
+    )
 
 
 @then("all of them arrive")
-def _all_arrive(seen: Seen) -> None:
-    assert (seen.status, len(seen.body)) == (200, seen.tokens)
+def _all_arrive(caller_view: CallerView) -> None:
+    assert (caller_view.status, len(caller_view.body)) == (200, caller_view.tokens)
 
 
 @then("it got no new work after three seconds")
-def _no_new_work(deployment: Deployment, seen: Seen) -> None:
+def _no_new_work(deployment: Deployment, caller_view: CallerView) -> None:
     async def run() -> list[float]:
-        record = await deployment.record(deployment.engines[seen.engine])
-        return [at_s - seen.left_at_s for at_s in record["started_at"].values()]
+        record = await deployment.record(deployment.engines[caller_view.engine])
+        return [at_s - caller_view.left_at_s for at_s in record["started_at"].values()]
 
     assert max(deployment.background.run(run()), default=0.0) < 3.0
 
 
 @then("every answer of those callers was whole")
-def _all_whole(seen: Seen) -> None:
-    assert seen.texts
-    assert set(seen.texts) == {answer_text("court-rules", PROMPT, 5)}
+def _all_whole(caller_view: CallerView) -> None:
+    assert caller_view.texts
+    assert set(caller_view.texts) == {answer_text("court-rules", PROMPT, 5)}
 
 
 @then("that entry VM exits with code 0")
-def _exit_0(seen: Seen) -> None:
-    assert seen.exit_code == 0
+def _exit_0(caller_view: CallerView) -> None:
+    assert caller_view.exit_code == 0
 
 
 @then("its result can be collected")
-def _collected(deployment: Deployment, seen: Seen) -> None:
+def _collected(deployment: Deployment, caller_view: CallerView) -> None:
     async def run() -> Any:
         _, body = await deployment.request(
             deployment.daemons["entry-4"].callers,
             "GET",
-            f"/v1/deferred/{seen.deferred_id}",
+            f"/v1/deferred/{caller_view.deferred_id}",
             headers=headers(),
         )
         answer = json.loads(body)
@@ -438,20 +459,20 @@
 
 
 @then("the engines ran it once")
-def _engines_once(deployment: Deployment, seen: Seen) -> None:
+def _engines_once(deployment: Deployment, caller_view: CallerView) -> None:
     async def run() -> int:
         records = [await deployment.record(p) for p in deployment.engines.values()]
         return sum(
             count
             for record in records
             for key, count in record["started"].items()
-            if key.startswith(seen.deferred_id)
+            if key.startswith(caller_view.deferred_id)
         )
 
     assert deployment.background.run(run()) == 1
 
 
-def test_a_hung_up_pool_is_closed() -> None:
+def test_a_refused_connection_is_reported_as_not_sent() -> None:
     async def run() -> None:
         pool = HttpPool()
         with pytest.raises(ExchangeError) as failure:
--- a/tests/test_routing.py
+++ b/tests/test_routing.py
@@ -1,4 +1,4 @@
-"""Replicas are chosen by load, own requests and affinity; none is starved."""
+"""Replicas are chosen by load, own requests and prefix affinity."""
 
 import random
 
@@ -27,38 +27,38 @@
     return chosen.name if chosen else ""
 
 
-def test_a_replica_without_the_target_or_leaving_is_never_chosen() -> None:
+def test_unusable_replicas_are_never_chosen() -> None:
     assert choose([replica("a", leaving=True), replica("b", reachable=False)]) == ""
     assert choose([replica("a", resident=frozenset({"n"}))]) == ""
 
 
-def test_own_newer_requests_count_on_top_of_a_lagging_report() -> None:
+def test_own_requests_are_added_to_a_stale_report() -> None:
     busy = replica("a", own_starts={str(n): 5.0 for n in range(6)})
     assert choose([busy, replica("b", running=2)]) == "b"
 
 
-def test_own_requests_that_the_report_saw_count_once() -> None:
+def test_own_requests_in_the_report_are_counted_once() -> None:
     row = replica("a", own_starts={"x": -1.0}, reported_at_s=None)
     for second in range(40):
         row.note_report(running=3, queued=0, at_s=float(second))
     assert round(row.load(), 3) == 3
 
 
-def test_own_data_centre_comes_first_until_it_is_crowded() -> None:
-    near, far = replica("a"), replica("b", data_centre="casa-b")
-    assert choose([near, far]) == "a"
-    near.others_load = 12.0
-    assert choose([near, far]) == "b"
+def test_the_local_data_centre_is_preferred_until_overloaded() -> None:
+    local, remote = replica("a"), replica("b", data_centre="casa-b")
+    assert choose([local, remote]) == "a"
+    local.others_load = 12.0
+    assert choose([local, remote]) == "b"
 
 
-def test_a_failed_replica_goes_last_but_stays_a_candidate() -> None:
+def test_a_failed_replica_is_chosen_only_if_no_other_is_left() -> None:
     failed = replica("a")
     note_failure(failed, now_s=10.0)
     assert choose([failed, replica("b", running=9)]) == "b"
     assert choose([failed]) == "a"
 
 
-def test_a_drained_replica_serves_only_what_no_other_holds() -> None:
+def test_a_draining_replica_is_chosen_only_if_no_other_is_left() -> None:
     drained = replica("a", draining=True)
     assert choose([drained, replica("b", running=9)]) == "b"
     assert choose([drained]) == "a"
@@ -72,22 +72,22 @@
 
 
 def test_affinity_is_bounded_by_own_requests() -> None:
-    # All routers share the home of a prefix; each holds back by what it
-    # knows for certain, its own requests.
+    # All entry VMs choose the same replica for a prefix, so each limits its
+    # own requests, of which it has an exact count.
     home, other = replica("a"), replica("b")
     home.own_starts = {"x": 0.0, "y": 0.0}
     assert choose([home, other], prefix_home="a") == "b"
 
 
 @given(st.text(min_size=BLOCK_CHARS, max_size=4 * BLOCK_CHARS), st.text(max_size=50))
-def test_a_longer_prompt_finds_its_prefix(prompt: str, more: str) -> None:
+def test_a_longer_prompt_matches_its_indexed_prefix(prompt: str, more: str) -> None:
     index = PrefixIndex()
     index.note(prefix_keys("m", prompt), "a")
     assert index.find(prefix_keys("m", prompt + more)) == "a"
     assert index.find(prefix_keys("n", prompt + more)) is None
 
 
-def test_the_index_is_bounded() -> None:
+def test_the_prefix_index_is_bounded() -> None:
     index = PrefixIndex(max_entries=10)
     index.note(list(range(100)), "a")
     assert len(index) == 10
--- a/tests/test_silent_backends.py
+++ b/tests/test_silent_backends.py
@@ -1,7 +1,7 @@
-"""Whether the daemon's requests leave a backend server that stands still.
+"""Attempts at a silent backend server are aborted only if they can be retried.
 
-One that is broken off before it is known that another try may follow, and that
-somebody could take it, is lost to its caller although its server was at work.
+If an attempt is aborted although no retry is allowed, or no other server has a
+free slot, the request fails while its server may still be working on it.
 """
 
 import asyncio
@@ -27,22 +27,25 @@
 from rosepath.telemetry import Telemetry
 
 
-def slow(asked: Asked) -> Timetable:
-    """Answer after more than the progress timeout."""
+def responds_late(asked: Asked) -> Timetable:
+    """Respond after more than the progress timeout."""
     return answers(asked, after_s=12.0)
 
 
-def quick(asked: Asked) -> Timetable:
+def responds_soon(asked: Asked) -> Timetable:
     return answers(asked, after_s=0.1)
 
 
-def dark(asked: Asked) -> Timetable:
-    """Take a request and never answer, with the connection open."""
+def never_responds(asked: Asked) -> Timetable:
+    """Accept a request and never respond, with the connection open."""
     return []
 
 
 def tokens(asked: Asked, *at_s: float, ends: bool = True) -> Timetable:
-    """Send the four tokens that the caller lacks, the last times over."""
+    """Send the tokens from the request's offset up to the fourth.
+
+    The times are those of the tokens; the last one is reused for the rest.
+    """
     body = json.loads(asked.body)
     request_id, first = body["request_id"], body["offset"]
     steps = [(0.01, stream_head(asked))]
@@ -54,42 +57,42 @@
     return steps
 
 
-def sets_aside(asked: Asked) -> Timetable:
-    """Send a token, stand still for 25 seconds, and send the rest."""
+def preempts(asked: Asked) -> Timetable:
+    """Send a token, preempt the stream for 25 seconds, and send the rest."""
     return tokens(asked, 0.1, 25.1)
 
 
-def goes_on(asked: Asked) -> Timetable:
+def completes(asked: Asked) -> Timetable:
     return tokens(asked, 0.1)
 
 
 @dataclass(slots=True)
-class Node:
-    """Hold a daemon's dispatcher before servers, and what a caller heard."""
+class DaemonUnderTest:
+    """A daemon's dispatcher and relay, and what the caller received."""
 
     dispatcher: Dispatcher
     relay: ServiceRelay
-    heard: bytearray = field(default_factory=bytearray)
+    received: bytearray = field(default_factory=bytearray)
     took_s: float = 0.0
 
-    async def call(self, *, idempotent: bool, wait_s: float = 60.0) -> int:
-        """Call the plain service; return the answer's status."""
+    async def call(self, *, idempotent: bool, deadline_in_s: float = 60.0) -> int:
+        """Call the plain service; return the status of the response."""
         heads: list[int] = []
         call = ServiceCall(service="files", method="POST", path="/x", headers={})
-        begun_s = asyncio.get_running_loop().time()
+        started_s = asyncio.get_running_loop().time()
         try:
             await self.relay.call(
                 call,
-                terms(idempotent=idempotent, wait_s=wait_s),
+                terms(idempotent=idempotent, deadline_in_s=deadline_in_s),
                 lambda head: heads.append(head.status),
-                self.heard.extend,
+                self.received.extend,
             )
         finally:
-            self.took_s = asyncio.get_running_loop().time() - begun_s
+            self.took_s = asyncio.get_running_loop().time() - started_s
         return heads[0]
 
     async def generate(self, *, idempotent: bool) -> bytes:
-        """Ask for four tokens; return the events."""
+        """Request four tokens; return the events."""
         generation = Generation(
             request_id="r",
             target="files",
@@ -99,22 +102,22 @@
             served_as="m",
         )
         await self.dispatcher.generate(
-            generation, terms(idempotent=idempotent), self.heard.extend
+            generation, terms(idempotent=idempotent), self.received.extend
         )
-        return bytes(self.heard)
+        return bytes(self.received)
 
 
-def terms(*, idempotent: bool, wait_s: float = 60.0) -> Terms:
+def terms(*, idempotent: bool, deadline_in_s: float = 60.0) -> Terms:
     return Terms(
         idempotent=idempotent,
-        deadline_s=asyncio.get_running_loop().time() + wait_s,
+        deadline_s=asyncio.get_running_loop().time() + deadline_in_s,
         data_centre="a",
         span=trace.INVALID_SPAN,
     )
 
 
-def a_node(*engines: Engine, repeats: float = 3.0) -> Node:
-    """Build a daemon's dispatcher; the first server is the one that it prefers."""
+def make_daemon(*engines: Engine, retries: float = 3.0) -> DaemonUnderTest:
+    """Build a daemon's dispatcher that prefers the servers in this order."""
     tables = Tables()
     for number, engine in enumerate(engines):
         tables.replicas[engine.name] = Replica(
@@ -130,196 +133,200 @@
         tables,
         HttpBackend(pool),
         Telemetry(trace.NoOpTracer(), MeterProvider().get_meter("t"), None),
-        # Requests earn nothing, so that a test says what may be repeated.
+        # Requests add nothing to the retry budget, so each test sets it exactly.
         RoutingSettings(retry_budget_share=0.0),
         clock=LoopClock(),
         rng=random.Random(1),
         on_leaving=lambda _: None,
     )
-    dispatcher.budget.balance = repeats
-    return Node(dispatcher, ServiceRelay(dispatcher, pool))
+    dispatcher.budget.balance = retries
+    return DaemonUnderTest(dispatcher, ServiceRelay(dispatcher, pool))
 
 
-def fill(node: Node, name: str) -> None:
-    """Let all places of a server be taken by others."""
-    server = node.dispatcher.tables.replicas[name]
+def fill_slots(daemon: DaemonUnderTest, name: str) -> None:
+    """Let requests of other entry VMs use all slots of a server."""
+    server = daemon.dispatcher.tables.replicas[name]
     server.others_load = float(server.slots)
 
 
-def test_a_call_that_may_run_once_is_not_broken_off() -> None:
-    # A filing took its server 12 s. After 10 s without a byte the entry VM broke
-    # it off and only then found that it may not be sent again: the caller got a
-    # 502, run unknown, with most of its time left and its server at work.
-    async def play() -> None:
-        first, second = Engine("s1", slow), Engine("s2", quick)
-        node = a_node(first, second)
-        assert await node.call(idempotent=False) == 200
+def test_a_non_idempotent_call_is_not_aborted() -> None:
+    # Guards against aborting a call after 10 s without a byte before checking
+    # that it may be retried. The server takes 12 s; the caller would get a 502
+    # with run "unknown" while most of its time was left.
+    async def scenario() -> None:
+        first, second = Engine("s1", responds_late), Engine("s2", responds_soon)
+        daemon = make_daemon(first, second)
+        assert await daemon.call(idempotent=False) == 200
         assert not first.cut_at_s and not second.asked
 
-    run(play)
+    run(scenario)
 
 
-def test_a_call_is_not_broken_off_when_no_repeat_is_left() -> None:
-    # The same for one that may be repeated, once the retry budget is spent.
-    async def play() -> None:
-        first, second = Engine("s1", slow), Engine("s2", quick)
-        node = a_node(first, second, repeats=0)
-        assert await node.call(idempotent=True) == 200
+def test_a_call_is_not_aborted_when_the_retry_budget_is_spent() -> None:
+    # Guards against aborting an idempotent call that cannot be retried.
+    async def scenario() -> None:
+        first, second = Engine("s1", responds_late), Engine("s2", responds_soon)
+        daemon = make_daemon(first, second, retries=0)
+        assert await daemon.call(idempotent=True) == 200
         assert not first.cut_at_s and not second.asked
 
-    run(play)
+    run(scenario)
 
 
 @pytest.mark.parametrize("full", [True, False])
-def test_a_call_is_not_broken_off_when_nobody_else_could_take_it(full: bool) -> None:
-    # The only other server is full, or there is none: each try began anew at the
-    # slow one, and the last was broken off as well.
-    async def play() -> None:
-        first, second = Engine("s1", slow), Engine("s2", quick)
-        node = a_node(first, second) if full else a_node(first)
+def test_a_call_is_not_aborted_without_another_free_server(full: bool) -> None:
+    # Guards against aborting attempts when the only other server is full, or
+    # there is none: each retry would go to the same slow server, and the last
+    # one would be aborted as well.
+    async def scenario() -> None:
+        first, second = Engine("s1", responds_late), Engine("s2", responds_soon)
+        daemon = make_daemon(first, second) if full else make_daemon(first)
         if full:
-            fill(node, "s2")
-        assert await node.call(idempotent=True) == 200
+            fill_slots(daemon, "s2")
+        assert await daemon.call(idempotent=True) == 200
         assert len(first.asked) == 1 and not second.asked
 
-    run(play)
+    run(scenario)
 
 
-def test_the_last_try_of_a_call_is_not_broken_off() -> None:
-    # Four servers at 12 s each: the tries before the last may go on elsewhere,
-    # each at the price of one repeat; after the last nothing follows.
-    async def play() -> None:
-        servers = [Engine(f"s{number}", slow) for number in range(4)]
-        node = a_node(*servers)
-        assert await node.call(idempotent=True) == 200
-        left = [bool(server.cut_at_s) for server in servers]
-        assert left == [True, True, True, False]
-        assert node.dispatcher.budget.balance == 0
+def test_the_last_attempt_of_a_call_is_not_aborted() -> None:
+    # Four servers take 12 s each. The first three attempts are retried at
+    # another server, each for one retry of the budget; after the fourth no
+    # further attempt is allowed.
+    async def scenario() -> None:
+        servers = [Engine(f"s{number}", responds_late) for number in range(4)]
+        daemon = make_daemon(*servers)
+        assert await daemon.call(idempotent=True) == 200
+        aborted = [bool(server.cut_at_s) for server in servers]
+        assert aborted == [True, True, True, False]
+        assert daemon.dispatcher.budget.balance == 0
 
-    run(play)
+    run(scenario)
 
 
-def test_a_call_leaves_a_server_that_went_dark() -> None:
-    # What may go on elsewhere does so after 10 s, and pays for it once.
-    async def play() -> None:
-        node = a_node(Engine("s1", dark), Engine("s2", quick))
-        assert await node.call(idempotent=True) == 200
-        assert node.took_s < 10.5
-        assert node.dispatcher.budget.balance == 2
+def test_a_call_is_retried_when_its_server_falls_silent() -> None:
+    # The attempt is aborted after 10 s and takes one retry from the budget.
+    async def scenario() -> None:
+        daemon = make_daemon(Engine("s1", never_responds), Engine("s2", responds_soon))
+        assert await daemon.call(idempotent=True) == 200
+        assert daemon.took_s < 10.5
+        assert daemon.dispatcher.budget.balance == 2
 
-    run(play)
+    run(scenario)
 
 
-def test_a_call_that_was_kept_leaves_once_there_is_room() -> None:
-    # It is looked at again: 10 s later the other server has a place.
-    async def play() -> None:
-        node = a_node(Engine("s1", dark), Engine("s2", quick))
-        fill(node, "s2")
-        calling = asyncio.ensure_future(node.call(idempotent=True))
+def test_a_kept_call_is_retried_once_another_server_is_free() -> None:
+    # The check is repeated: 10 s later the other server has a free slot.
+    async def scenario() -> None:
+        daemon = make_daemon(Engine("s1", never_responds), Engine("s2", responds_soon))
+        fill_slots(daemon, "s2")
+        calling = asyncio.ensure_future(daemon.call(idempotent=True))
         await asyncio.sleep(15.0)
-        node.dispatcher.tables.replicas["s2"].others_load = 0.0
+        daemon.dispatcher.tables.replicas["s2"].others_load = 0.0
         assert await calling == 200
-        assert node.took_s < 20.5
+        assert daemon.took_s < 20.5
 
-    run(play)
+    run(scenario)
 
 
-def test_a_call_that_is_kept_ends_with_its_time() -> None:
-    # The wait is bounded by the request's own time, whenever the next look is.
-    async def play() -> None:
-        node = a_node(Engine("s1", dark))
+def test_a_kept_call_fails_at_its_deadline() -> None:
+    # The deadline of the request ends the wait, not the next check of the server.
+    async def scenario() -> None:
+        daemon = make_daemon(Engine("s1", never_responds))
         with pytest.raises(RefusalError) as caught:
-            await node.call(idempotent=False, wait_s=25.0)
+            await daemon.call(idempotent=False, deadline_in_s=25.0)
         assert caught.value.refusal.run is Run.UNKNOWN
-        assert 25.0 <= node.took_s < 25.1
+        assert 25.0 <= daemon.took_s < 25.1
 
-    run(play)
+    run(scenario)
 
 
 @pytest.mark.parametrize(
-    ("idempotent", "repeats"), [(False, 3.0), (True, 0.0)], ids=["once", "no-repeat"]
+    ("idempotent", "retries"), [(False, 3.0), (True, 0.0)], ids=["once", "no-retries"]
 )
-def test_a_generation_is_not_broken_off(idempotent: bool, repeats: float) -> None:
-    # A full engine set a stream aside for 25 s; broken off unasked, its caller
-    # got an error event in the middle, run partial.
-    async def play() -> None:
-        first, second = Engine("e1", sets_aside), Engine("e2", goes_on)
-        node = a_node(first, second, repeats=repeats)
-        assert (await node.generate(idempotent=idempotent)).endswith(b"[DONE]\n\n")
+def test_a_generation_that_cannot_be_retried_is_not_aborted(
+    idempotent: bool, retries: float
+) -> None:
+    # Guards against aborting a stream that a full engine preempts for 25 s: the
+    # caller would get an error event with run "partial" in mid-stream.
+    async def scenario() -> None:
+        first, second = Engine("e1", preempts), Engine("e2", completes)
+        daemon = make_daemon(first, second, retries=retries)
+        assert (await daemon.generate(idempotent=idempotent)).endswith(b"[DONE]\n\n")
         assert not first.cut_at_s and not second.asked
 
-    run(play)
+    run(scenario)
 
 
-def test_a_generation_stays_with_an_only_engine_that_is_full() -> None:
-    # Asked again, it would queue behind those for whom it was set aside.
-    async def play() -> None:
-        engine = Engine("e1", sets_aside)
-        node = a_node(engine)
-        fill(node, "e1")
-        assert (await node.generate(idempotent=True)).endswith(b"[DONE]\n\n")
+def test_a_generation_is_not_retried_at_its_only_engine_if_full() -> None:
+    # A retry would queue behind the requests for which it was preempted.
+    async def scenario() -> None:
+        engine = Engine("e1", preempts)
+        daemon = make_daemon(engine)
+        fill_slots(daemon, "e1")
+        assert (await daemon.generate(idempotent=True)).endswith(b"[DONE]\n\n")
         assert len(engine.asked) == 1
 
-    run(play)
+    run(scenario)
 
 
-def test_a_generation_goes_on_at_an_only_engine_that_lost_it() -> None:
-    # The only copy has room and sends nothing more: asked again, it goes on after
-    # the last token. To wait would end the stream with its time.
-    async def play() -> None:
-        def loses_the_first(asked: Asked) -> Timetable:
+def test_a_generation_resumes_at_its_only_engine_if_not_full() -> None:
+    # The only engine has a free slot but has lost the stream. A further attempt
+    # resumes after the last token; waiting would last until the deadline.
+    async def scenario() -> None:
+        def loses_first_stream(asked: Asked) -> Timetable:
             first = json.loads(asked.body)["offset"] == 0
-            return tokens(asked, 0.1, ends=False)[:2] if first else goes_on(asked)
+            return tokens(asked, 0.1, ends=False)[:2] if first else completes(asked)
 
-        engine = Engine("e1", loses_the_first)
-        node = a_node(engine)
-        assert (await node.generate(idempotent=True)).endswith(b"[DONE]\n\n")
+        engine = Engine("e1", loses_first_stream)
+        daemon = make_daemon(engine)
+        assert (await daemon.generate(idempotent=True)).endswith(b"[DONE]\n\n")
         assert len(engine.asked) == 2
-        assert node.dispatcher.budget.balance == 2
+        assert daemon.dispatcher.budget.balance == 2
 
-    run(play)
+    run(scenario)
 
 
-def test_a_generation_leaves_an_engine_that_went_dark() -> None:
-    # It goes on elsewhere after its last token, and pays for it once.
-    async def play() -> None:
+def test_a_generation_resumes_elsewhere_when_its_engine_falls_silent() -> None:
+    # It resumes after its last token and takes one retry from the budget.
+    async def scenario() -> None:
         first = Engine("e1", lambda asked: tokens(asked, 0.1, ends=False)[:2])
-        second = Engine("e2", goes_on)
-        node = a_node(first, second)
-        assert (await node.generate(idempotent=True)).endswith(b"[DONE]\n\n")
+        second = Engine("e2", completes)
+        daemon = make_daemon(first, second)
+        assert (await daemon.generate(idempotent=True)).endswith(b"[DONE]\n\n")
         assert json.loads(second.asked[0].body)["offset"] == 1
-        assert node.dispatcher.budget.balance == 2
+        assert daemon.dispatcher.budget.balance == 2
 
-    run(play)
+    run(scenario)
 
 
-def sheds(asked: Asked) -> Timetable:
-    """Refuse a call unrun, and tell when to come back."""
+def sheds_load(asked: Asked) -> Timetable:
+    """Refuse a call without running it, with a Retry-After of 3 s."""
     return [(0.01, answer(asked, 503, b"", "Rosepath-Run: no\r\nRetry-After: 3\r\n"))]
 
 
-# Guards against a server that sheds load being asked again with each call.
-def test_calls_leave_a_server_alone_that_sheds_load() -> None:
-    async def play() -> None:
-        first, second = Engine("s1", sheds), Engine("s2", quick)
-        node = a_node(first, second, repeats=100.0)
+# Guards against sending each call to a server that is shedding load.
+def test_a_server_that_sheds_load_is_not_called_during_its_backoff() -> None:
+    async def scenario() -> None:
+        first, second = Engine("s1", sheds_load), Engine("s2", responds_soon)
+        daemon = make_daemon(first, second, retries=100.0)
         for _ in range(20):
-            assert await node.call(idempotent=True) == 200
+            assert await daemon.call(idempotent=True) == 200
         assert len(first.asked) == 1
 
-    run(play)
+    run(scenario)
 
 
-# Guards against callers being told to come back while all servers still shed load.
-def test_callers_come_back_when_the_first_server_takes_calls_again() -> None:
-    async def play() -> None:
-        first = Engine("s1", sheds)
-        node = a_node(first, repeats=100.0)
+# Guards against a Retry-After that ends while all servers still shed load.
+def test_retry_after_is_the_end_of_the_first_servers_backoff() -> None:
+    async def scenario() -> None:
+        first = Engine("s1", sheds_load)
+        daemon = make_daemon(first, retries=100.0)
         for _ in range(2):
             with pytest.raises(RefusalError) as refused:
-                await node.call(idempotent=True)
+                await daemon.call(idempotent=True)
             assert refused.value.refusal.run is Run.NO
             assert refused.value.refusal.retry_after_s == pytest.approx(3.0, abs=0.1)
         assert len(first.asked) == 1
 
-    run(play)
+    run(scenario)
--- a/tests/test_variants.py
+++ b/tests/test_variants.py
@@ -1,4 +1,4 @@
-"""Variants get their declared share, the same on every entry VM."""
+"""Variants get their declared share, and the choice is deterministic."""
 
 from builders import configuration, operation
 
@@ -23,7 +23,7 @@
 )
 
 
-def test_shares_hold_within_a_percent() -> None:
+def test_shares_are_met_within_one_percent() -> None:
     picks = [resolve_target(SPLIT, "public", "c", str(n)) for n in range(20_000)]
     assert abs(picks.count("m@v2") / len(picks) - 0.1) < 0.01
 
@@ -33,9 +33,9 @@
     assert all(resolve_target(SPLIT, "public", "c", "key") == first for _ in range(9))
 
 
-def test_a_narrower_route_wins() -> None:
+def test_the_more_specific_route_is_chosen() -> None:
     assert resolve_target(SPLIT, "public", "lab-1", "k") == "m@v2"
 
 
-def test_an_undeclared_name_resolves_to_nothing() -> None:
+def test_an_undeclared_name_resolves_to_none() -> None:
     assert resolve_target(SPLIT, "nothing", "c", "k") is None
