--- a/src/rosepath/backend.py
+++ b/src/rosepath/backend.py
@@ -74,9 +74,9 @@
 class SendPolicy:
     """Timeouts and connection requirements of one exchange.
 
-    `proven_live_within_s` limits how long ago a pooled connection received
-    its last response; None allows any. `may_break_off` is called when the
-    progress timeout expires and returns whether to abort the exchange.
+    A pooled connection is used only if it received a response within
+    `proven_live_within_s`; None means the pool's own idle limit. When the
+    progress timeout expires, `may_break_off` returns whether to abort.
     """
 
     connect_timeout_s: float = 1.0
--- a/src/rosepath/backend_watch.py
+++ b/src/rosepath/backend_watch.py
@@ -65,7 +65,7 @@
         self._publish(Row(RowKey(RowKind.LEAVING, name), version, payload))
 
     async def poll(self) -> None:
-        """Poll the replicas assigned to this entry VM and update the demand."""
+        """Poll the replicas of this entry VM and update the demand."""
         now_s = self._clock.monotonic_s
         for row in await self._poller.poll_all(self._data_centre):
             replica = self._tables.replicas.get(row.key.name)
--- a/src/rosepath/caller_handler.py
+++ b/src/rosepath/caller_handler.py
@@ -95,7 +95,7 @@
         self.finish(json.dumps(error_body(refusal, self.request_id)))
 
     async def run(self, step: Callable[[], Awaitable[None]]) -> None:
-        """Run `step` as a task that is cancelled when the caller disconnects."""
+        """Run `step` as a task, cancelled when the caller disconnects."""
         self.ports.in_flight.add(self.request_id)
         self.task = asyncio.ensure_future(_await(step))
         try:
@@ -140,7 +140,7 @@
             return
 
     async def _end_incomplete(self, body: str) -> None:
-        """End a started response with an error event, or close the connection."""
+        """End a started response: send an error event or disconnect."""
         if self.event_stream_started:
             self.write(f"data: {body}\n\n")
             await self.finish()
@@ -181,7 +181,7 @@
             raise refuse(503, "not_ready", reason, step=Step.ROUTE, retry_after_s=1.0)
 
     def terms(self, *, idempotent: bool, span: trace.Span) -> Terms:
-        """Read the deadline and idempotency of the request from its headers."""
+        """Read the request's deadline and idempotency from its headers."""
         settings = self.ports.settings
         timeout_s = settings.routing.request_timeout_s
         header_value = self.request.headers.get("Rosepath-Deadline-Ms", "")
@@ -272,7 +272,7 @@
         return None
 
     async def replay(self, outcome: Outcome) -> None:
-        """Send the recorded response of an earlier request with the same key."""
+        """Send the recorded response of the key's earlier request."""
         self.set_status(outcome.status)
         for name, value in outcome.headers.items():
             self.set_header(name, value)
--- a/src/rosepath/dispatch.py
+++ b/src/rosepath/dispatch.py
@@ -138,8 +138,8 @@
         key = f"{generation.request_id}.{generation.offset}"
 
         def on_bytes(data: bytes) -> Awaitable[None] | None:
-            passed = checker.feed(data)
-            return on_events(passed) if passed else None
+            forwarded = checker.feed(data)
+            return on_events(forwarded) if forwarded else None
 
         def may_break_off() -> bool:
             history.paid = self._may_abort(replica, generation, terms, checker, history)
@@ -176,8 +176,8 @@
     ) -> SendPolicy:
         # A middlebox that has dropped a connection's state discards a request
         # without an error, so it is unknown whether the request ran.
-        # Non-idempotent requests therefore only use a pooled connection that
-        # received a response recently.
+        # Non-idempotent requests therefore use a new connection, or a pooled
+        # one that received a response recently.
         max_idle_s = None if terms.idempotent else self.settings.proven_live_within_s
         return SendPolicy(
             connect_timeout_s=self.settings.connect_timeout_s,
@@ -219,8 +219,8 @@
         """Return whether to abort an attempt at a silent server.
 
         The server may still be working on the request. The attempt is kept if
-        no retry is allowed or no other replica has a free slot, as aborting
-        it would fail a request that has time left. Takes a retry from the
+        no retry is allowed or no replica outside `excluded` has a free slot,
+        as aborting it would fail a request that has time left. Takes a retry from the
         budget if it returns True with time left and none was taken before.
         """
         if attempt.left_s <= 0:
--- a/src/rosepath/services.py
+++ b/src/rosepath/services.py
@@ -184,7 +184,7 @@
         )
 
     def _retry_after_s(self, service: str) -> float:
-        """Return how long until the first server's backoff ends, at least 1 s."""
+        """Return the time to the end of the first backoff, at least 1 s."""
         now_s = asyncio.get_running_loop().time()
         backoffs_s = [
             replica.backoff_until_s - now_s for replica in self._servers_of(service)
--- a/tests/test_silent_backends.py
+++ b/tests/test_silent_backends.py
@@ -133,7 +133,7 @@
         tables,
         HttpBackend(pool),
         Telemetry(trace.NoOpTracer(), MeterProvider().get_meter("t"), None),
-        # Requests add nothing to the retry budget, so each test sets it exactly.
+        # Requests add nothing to the retry budget: each test sets its size.
         RoutingSettings(retry_budget_share=0.0),
         clock=LoopClock(),
         rng=random.Random(1),
@@ -230,7 +230,7 @@
 
 
 def test_a_kept_call_fails_at_its_deadline() -> None:
-    # The deadline of the request ends the wait, not the next check of the server.
+    # The request's deadline ends the wait, not the next check of the server.
     async def scenario() -> None:
         daemon = make_daemon(Engine("s1", never_responds))
         with pytest.raises(RefusalError) as caught:
@@ -247,8 +247,8 @@
 def test_a_generation_that_cannot_be_retried_is_not_aborted(
     idempotent: bool, retries: float
 ) -> None:
-    # Guards against aborting a stream that a full engine preempts for 25 s: the
-    # caller would get an error event with run "partial" in mid-stream.
+    # Guards against aborting a stream that a full engine preempts for 25 s:
+    # the caller would get an error event with run "partial" in mid-stream.
     async def scenario() -> None:
         first, second = Engine("e1", preempts), Engine("e2", completes)
         daemon = make_daemon(first, second, retries=retries)
@@ -271,8 +271,9 @@
 
 
 def test_a_generation_resumes_at_its_only_engine_if_not_full() -> None:
-    # The only engine has a free slot but has lost the stream. A further attempt
-    # resumes after the last token; waiting would last until the deadline.
+    # The only engine has a free slot but has lost the stream. A further
+    # attempt resumes after the last token; waiting would last until the
+    # deadline.
     async def scenario() -> None:
         def loses_first_stream(asked: Asked) -> Timetable:
             first = json.loads(asked.body)["offset"] == 0
