--- a/src/rosepath/backend_http.py
+++ b/src/rosepath/backend_http.py
@@ -1,4 +1,7 @@
-"""HTTP client of backend servers: encodes JSON and reads event streams."""
+"""HTTP client of backend servers.
+
+The wire format, JSON and server-sent events, is defined in this module only.
+"""
 
 import json
 from typing import Any
