--- a/src/rosepath/engine_keeper.py
+++ b/src/rosepath/engine_keeper.py
@@ -1,7 +1,8 @@
-"""Keep one data centre's engines: claim, reserve, order, release.
+"""Claim one data centre's engines, reserve memory, send and track orders.
 
-Each engine has a ledger in the store. The decisions are in `ledger`; here are
-the store's and the engines' answers, lost replies and lost orders among them.
+Each engine has a ledger in the store. `ledger` has the pure rules; this module
+does the I/O with the store and the engines and handles lost responses and
+lost orders.
 """
 
 import asyncio
@@ -14,7 +15,7 @@
     BackendPort,
     LoadReport,
     Order,
-    StaleFenceError as StaleFence,
+    StaleFenceError,
 )
 from rosepath.clock import Clock
 from rosepath.configuration import Configuration
@@ -25,8 +26,8 @@
     claim,
     decode_ledger,
     encode_ledger,
+    format_order_id,
     mark_unloading,
-    order_id,
     releasable,
     release,
     reserve,
@@ -36,7 +37,7 @@
 from rosepath.settings import PlacementSettings
 from rosepath.tables import Move, MoveAction, Tables
 
-FRESH_REPORT_S = 3.0
+REPORT_MAX_AGE_S = 3.0
 RESEND_AFTER_S = 1.0
 
 _log = get_logger()
@@ -44,23 +45,29 @@
 
 @dataclass(slots=True)
 class EngineRow:
-    """Hold what the placement holder knows of one engine of its own."""
+    """Hold the state of one engine of this data centre.
+
+    `claimed` is set once the ledger is stored with this VM as its holder,
+    `fence_confirmed` once the engine has the ledger's fencing token or if it
+    does not check tokens. `dirty` ledgers are to be stored when the store is
+    reachable again; `sent_at_s` maps order ids to the time of the last send.
+    """
 
     name: str
     version: int = 0
     ledger: Ledger = field(default_factory=Ledger)
     claimed: bool = False
-    fence_noted: bool = False
+    fence_confirmed: bool = False
     dirty: bool = False
     report: LoadReport | None = None
     reported_at_s: float = -1e9
     sent_at_s: dict[str, float] = field(default_factory=dict)
-    next_number: int = 0
+    last_order_number: int = 0
 
 
 @dataclass(slots=True, kw_only=True)
 class PlacerPorts:
-    """Hold what the placer works with."""
+    """Hold the dependencies of the placer and the engine keeper."""
 
     settings: PlacementSettings
     data_centre: str
@@ -75,30 +82,37 @@
 
 
 class EngineKeeper:
-    """Hold the rows of a data centre's engines while holding its lease."""
+    """Own the rows of a data centre's engines for the holder of its lease.
+
+    `without_lease` is set by the placer: ledgers are then changed in memory
+    only. `change_count` grows with every change that may need a new plan.
+    """
 
     def __init__(self, ports: PlacerPorts) -> None:
         self.rows: dict[str, EngineRow] = {}
-        self.frozen = False
-        self.changes = 0
+        self.without_lease = False
+        self.change_count = 0
         self._ports = ports
 
     def fences(self, row: EngineRow) -> bool:
-        """Tell whether an engine checks fencing numbers."""
+        """Tell whether an engine checks fencing tokens."""
         return self._ports.configuration().engines[row.name].fences
 
-    def may_go_on(self) -> bool:
-        """Tell whether ordering may go on though the lease can't be renewed.
+    def may_order_without_lease(self) -> bool:
+        """Tell whether orders are allowed although the lease cannot be renewed.
 
-        Nobody else can take the lease while the store is down for all, and
-        an engine that checks fencing numbers would refuse a late loser. What
-        was reserved meanwhile is written once the store is back.
+        No other VM can acquire the lease while the store is down for all, and
+        an engine that checks fencing tokens rejects orders of a previous
+        holder. Reservations made meanwhile are stored once the store is
+        reachable again.
         """
-        held = any(row.claimed and row.fence_noted for row in self.rows.values())
-        return held and not self._ports.store_reachable()
+        can_order = any(
+            row.claimed and row.fence_confirmed for row in self.rows.values()
+        )
+        return can_order and not self._ports.store_reachable()
 
     async def update_all(self) -> None:
-        """Bring every row up to date with its engine and its ledger."""
+        """Update every row from its engine's report and its ledger."""
         self._sync_rows()
         await asyncio.gather(*(self._update(row) for row in self.rows.values()))
 
@@ -114,29 +128,29 @@
             self.rows[name] = EngineRow(name)
 
     @property
-    def loading(self) -> int:
-        """Return how many loads are under way."""
+    def loads_in_progress(self) -> int:
+        """Return how many loads are reserved but not yet resident."""
         return sum(
             target not in row.report.engine.resident
             for row in self.rows.values()
             if row.report is not None
-            for target, held in row.ledger.reservations.items()
-            if held.action is MoveAction.LOAD
+            for target, reservation in row.ledger.reservations.items()
+            if reservation.action is MoveAction.LOAD
         )
 
     async def _update(self, row: EngineRow) -> None:
-        """Bring one engine's row up to date and release what is free."""
+        """Update one engine's row and release reservations that have ended."""
         await self._fetch_report(row)
         if row.report is None:
             return
-        if not row.claimed and not self.frozen:
+        if not row.claimed and not self.without_lease:
             await self._claim(row)
         if not row.claimed:
             return
-        await self._note_fence(row)
-        if row.dirty and not self.frozen:
+        await self._confirm_fence(row)
+        if row.dirty and not self.without_lease:
             await self._write(row, row.ledger)
-        await self._settle(row)
+        await self._reconcile(row)
 
     async def _fetch_report(self, row: EngineRow) -> None:
         now_s = self._ports.clock.monotonic_s()
@@ -145,38 +159,38 @@
         server = self._ports.configuration().engines[row.name]
         try:
             report = await self._ports.backend.report(server.address)
-            self._note_change(row, report)
+            self._count_change(row, report)
             row.report = report
             row.reported_at_s = self._ports.clock.monotonic_s()
         except ExchangeError:
-            if row.report and now_s - row.reported_at_s > FRESH_REPORT_S:
+            if row.report and now_s - row.reported_at_s > REPORT_MAX_AGE_S:
                 row.report = None
-                self.changes += 1
+                self.change_count += 1
 
-    def _note_change(self, row: EngineRow, report: LoadReport) -> None:
+    def _count_change(self, row: EngineRow, report: LoadReport) -> None:
         old = row.report
-        if old is None or old.engine.held != report.engine.held:
-            self.changes += 1
+        if old is None or old.engine.memory_by_target != report.engine.memory_by_target:
+            self.change_count += 1
 
     def _needs_report(self, row: EngineRow, now_s: float) -> bool:
-        """Tell whether an engine with orders under way, or a stale one, is due."""
-        if row.report is None or not row.fence_noted:
+        """Tell whether an order is in progress or the last report is too old."""
+        if row.report is None or not row.fence_confirmed:
             return True
         ready = row.report.engine.resident
         under_way = any(
-            target not in ready or held.action is MoveAction.UNLOAD
-            for target, held in row.ledger.reservations.items()
+            target not in ready or reservation.action is MoveAction.UNLOAD
+            for target, reservation in row.ledger.reservations.items()
         )
         if under_way:
             return True
-        self._take_gossiped(row)
-        return now_s - row.reported_at_s > FRESH_REPORT_S / 2
+        self._refresh_from_gossip(row)
+        return now_s - row.reported_at_s > REPORT_MAX_AGE_S / 2
 
-    def _take_gossiped(self, row: EngineRow) -> None:
-        """Let the pollers' row stand for a report while it says the same.
+    def _refresh_from_gossip(self, row: EngineRow) -> None:
+        """Count a matching report of the pollers as a report to this VM.
 
-        Asking every engine of a data centre again would cost the holder more
-        than all else; a row that differs makes it ask.
+        Polling every engine of the data centre again would be the holder's
+        largest cost. If the pollers' report differs, the engine is polled.
         """
         assert row.report is not None
         replica = self._ports.tables.replicas.get(row.name)
@@ -186,7 +200,7 @@
             row.reported_at_s = max(row.reported_at_s, replica.reported_at_s)
 
     async def _claim(self, row: EngineRow) -> None:
-        """Take an engine's ledger over under a higher fencing number."""
+        """Take an engine's ledger over under a higher fencing token."""
         assert row.report is not None
         stored = await self._ports.platform.get(f"ledger/{row.name}")
         ledger = Ledger()
@@ -204,25 +218,32 @@
         taken = adopt(taken, row.report.engine, at_s=now_s)
         if await self._write(row, taken):
             row.claimed = True
-            row.fence_noted = not self.fences(row)
-            row.next_number = 0
+            row.fence_confirmed = not self.fences(row)
+            row.last_order_number = 0
+
+    async def _confirm_fence(self, row: EngineRow) -> None:
+        """Send this holder's fencing token to an engine that checks tokens.
 
-    async def _note_fence(self, row: EngineRow) -> None:
-        """Make an engine that checks fencing numbers note this holder's."""
+        If the engine reports a higher token, the claim is lost.
+        """
         assert row.report is not None
-        if row.fence_noted:
+        if row.fence_confirmed:
             return
         if row.report.engine.fence >= row.ledger.fence:
-            row.fence_noted = row.report.engine.fence == row.ledger.fence
-            row.claimed = row.fence_noted
+            row.fence_confirmed = row.report.engine.fence == row.ledger.fence
+            row.claimed = row.fence_confirmed
             now_s = self._ports.clock.wall_s()
             row.ledger = adopt(row.ledger, row.report.engine, at_s=now_s)
             return
         await self._send(row, "claim", "", 0, f"{row.ledger.fence}.claim")
 
     async def _write(self, row: EngineRow, ledger: Ledger) -> bool:
-        """Store a ledger; False if another holder has it now."""
-        if self.frozen:
+        """Store a ledger; return False if another holder has changed it.
+
+        Without the lease, the ledger is kept in memory and stored later. If
+        the outcome of a write is unknown, the stored value decides.
+        """
+        if self.without_lease:
             row.ledger, row.dirty = ledger, True
             return True
         name = f"ledger/{row.name}"
@@ -243,59 +264,63 @@
                 return False
             row.version = stored.version
         row.ledger, row.dirty = ledger, False
-        self.changes += 1
+        self.change_count += 1
         return True
 
-    async def _settle(self, row: EngineRow) -> None:
-        """Release what is free, resend what got lost, record what is done."""
+    async def _reconcile(self, row: EngineRow) -> None:
+        """Release reservations that have ended and send lost orders again."""
         assert row.report is not None
         now_s = self._ports.clock.wall_s()
-        free = releasable(
+        ended = releasable(
             row.ledger,
             row.report.engine,
-            fences=self.fences(row) and row.fence_noted,
+            fences=self.fences(row) and row.fence_confirmed,
             now_s=now_s,
             late_order_bound_s=self._ports.settings.late_order_bound_s,
         )
-        if free:
-            self._record_ends(row, free)
-            if not await self._write(row, release(row.ledger, free)):
+        if ended:
+            self._forget_ended_orders(row, ended)
+            if not await self._write(row, release(row.ledger, ended)):
                 return
-        await self._resend_lost(row)
+        await self._resend_lost_orders(row)
 
-    def _record_ends(self, row: EngineRow, free: frozenset[str]) -> None:
-        for target in free:
-            held = row.ledger.reservations[target]
-            row.sent_at_s.pop(held.order_id, None)
-            if held.action is MoveAction.LOAD:
+    def _forget_ended_orders(self, row: EngineRow, ended: frozenset[str]) -> None:
+        for target in ended:
+            reservation = row.ledger.reservations[target]
+            row.sent_at_s.pop(reservation.order_id, None)
+            if reservation.action is MoveAction.LOAD:
                 _log.warning("load_ended_unloaded", peer=row.name, target=target)
 
-    async def _resend_lost(self, row: EngineRow) -> None:
-        """Send an order again, under its own id, until the engine knows it."""
+    async def _resend_lost_orders(self, row: EngineRow) -> None:
+        """Send orders again, under the same id, until the engine reports them."""
         assert row.report is not None
         now_s = self._ports.clock.monotonic_s()
-        for target, held in list(row.ledger.reservations.items()):
-            sent_s = row.sent_at_s.get(held.order_id)
-            if sent_s is None or held.order_id in row.report.engine.orders:
+        for target, reservation in list(row.ledger.reservations.items()):
+            sent_s = row.sent_at_s.get(reservation.order_id)
+            if sent_s is None or reservation.order_id in row.report.engine.orders:
                 continue
             if now_s - sent_s > RESEND_AFTER_S and row.reported_at_s > sent_s:
                 await self._send(
-                    row, held.action.value, target, held.memory_bytes, held.order_id
+                    row,
+                    reservation.action.value,
+                    target,
+                    reservation.memory_bytes,
+                    reservation.order_id,
                 )
 
     async def load(self, row: EngineRow, move: Move) -> bool:
-        """Reserve memory, then order a load; False if it has to wait."""
+        """Reserve memory and order a load; return False if it has to wait."""
         assert row.report is not None
-        row.next_number += 1
-        identity = order_id(
-            fence=row.ledger.fence, number=row.next_number, target=move.target
+        row.last_order_number += 1
+        order_id = format_order_id(
+            fence=row.ledger.fence, number=row.last_order_number, target=move.target
         )
         match reserve(
             row.ledger,
             row.report.engine,
             target=move.target,
             memory_bytes=move.memory_bytes,
-            order_id=identity,
+            order_id=order_id,
             at_s=self._ports.clock.wall_s(),
         ):
             case Result(tag="ok", ok=ledger):
@@ -304,49 +329,51 @@
             case Result(error=problem):
                 _log.debug("load_waits", peer=row.name, reason=problem)
                 return False
-        await self._send(row, "load", move.target, move.memory_bytes, identity)
+        await self._send(row, "load", move.target, move.memory_bytes, order_id)
         return True
 
     async def unload(self, row: EngineRow, move: Move) -> bool:
-        """Mark a target as unloading, then order it; False if it is not there."""
+        """Mark a target as unloading and order it; False if it is not loaded."""
         assert row.report is not None
         if move.target not in row.ledger.reservations:
             row.ledger = adopt(
                 row.ledger, row.report.engine, at_s=self._ports.clock.wall_s()
             )
-        held = row.ledger.reservations.get(move.target)
-        if held is None or held.action is MoveAction.UNLOAD:
+        reservation = row.ledger.reservations.get(move.target)
+        if reservation is None or reservation.action is MoveAction.UNLOAD:
             return False
-        row.next_number += 1
-        identity = order_id(
-            fence=row.ledger.fence, number=row.next_number, target=move.target
+        row.last_order_number += 1
+        order_id = format_order_id(
+            fence=row.ledger.fence, number=row.last_order_number, target=move.target
         )
         now_s = self._ports.clock.wall_s()
         ledger = row.ledger
-        for target in [t for t in ledger.reservations if _is_part(t, move.target)]:
+        for target in [
+            t for t in ledger.reservations if _is_target_or_adapter(t, move.target)
+        ]:
             ledger = mark_unloading(
-                ledger, target=target, order_id=identity, at_s=now_s
+                ledger, target=target, order_id=order_id, at_s=now_s
             )
         if not await self._write(row, ledger):
             return False
-        await self._send(row, "unload", move.target, 0, identity)
+        await self._send(row, "unload", move.target, 0, order_id)
         return True
 
     async def _send(
-        self, row: EngineRow, action: str, target: str, memory_bytes: int, identity: str
+        self, row: EngineRow, action: str, target: str, memory_bytes: int, order_id: str
     ) -> None:
-        """Send one order, if this node may still give orders right now."""
-        # A pause between deciding and sending may have outlived the lease:
-        # asked here, once more, right before the bytes leave.
+        """Send one order if this VM is still allowed to at this moment."""
+        # The lease may have expired during a pause of the process since the
+        # decision, so it is checked again right before the order is sent.
         allowed = self._ports.holds_lease() or (
-            self.frozen and self.may_go_on() and self.fences(row)
+            self.without_lease and self.may_order_without_lease() and self.fences(row)
         )
         if not allowed:
             return
-        row.sent_at_s[identity] = self._ports.clock.monotonic_s()
+        row.sent_at_s[order_id] = self._ports.clock.monotonic_s()
         server = self._ports.configuration().engines[row.name]
         order = Order(
-            order_id=identity,
+            order_id=order_id,
             fence=row.ledger.fence,
             action=action,
             target=target,
@@ -354,13 +381,13 @@
         )
         try:
             await self._ports.backend.order(server.address, order)
-        except StaleFence:
-            row.claimed = row.fence_noted = False
+        except StaleFenceError:
+            row.claimed = row.fence_confirmed = False
         except ExchangeError as error:
             _log.warning(
                 "order_unanswered", step="order", peer=row.name, error=str(error)
             )
 
 
-def _is_part(target: str, unloaded: str) -> bool:
+def _is_target_or_adapter(target: str, unloaded: str) -> bool:
     return target == unloaded or target.startswith(unloaded + ":")
--- a/src/rosepath/ledger.py
+++ b/src/rosepath/ledger.py
@@ -1,8 +1,8 @@
-"""What a backend server's memory is promised to, kept in the store.
+"""Reservations of a backend server's memory, kept in the store.
 
-Memory is reserved here before an order is sent and released only when no
-order can fill it any more. A reservation is a promise, not a fact: what is
-not known to be unloaded counts as resident.
+Memory is reserved before an order is sent and released only once no order
+can use it any more. A target that is not known to be unloaded counts as
+resident.
 """
 
 import json
@@ -16,7 +16,7 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class Reservation:
-    """Hold memory for one target on one backend server."""
+    """Reserve memory for one target on one backend server."""
 
     memory_bytes: int
     order_id: str
@@ -26,7 +26,7 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class Ledger:
-    """Hold a backend server's reservations and its fencing number."""
+    """Hold a backend server's reservations and its current fencing token."""
 
     fence: int = 0
     holder: str = ""
@@ -34,12 +34,17 @@
 
     @property
     def reserved_bytes(self) -> int:
-        return sum(row.memory_bytes for row in self.reservations.values())
+        return sum(
+            reservation.memory_bytes for reservation in self.reservations.values()
+        )
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class EngineReport:
-    """Hold what an engine says of itself."""
+    """Hold the memory, orders and fencing token that an engine reports.
+
+    `resident` and `loading` map targets to bytes, `orders` order ids to states.
+    """
 
     memory_bytes: int
     resident: Mapping[str, int]
@@ -49,23 +54,25 @@
     leaving: bool = False
 
     @property
-    def held(self) -> Mapping[str, int]:
-        """Return everything that takes memory."""
+    def memory_by_target(self) -> Mapping[str, int]:
+        """Return the bytes of every loading or resident target."""
         return {**self.loading, **self.resident}
 
 
-def promised_bytes(ledger: Ledger, report: EngineReport | None) -> int:
-    """Return the memory that may be in use: what is promised or reported."""
-    held = dict(report.held) if report else {}
+def committed_bytes(ledger: Ledger, report: EngineReport | None) -> int:
+    """Return the bytes that may be in use, each target reserved or reported."""
+    reported = dict(report.memory_by_target) if report else {}
     total = 0
-    for target in {*ledger.reservations, *held}:
+    for target in {*ledger.reservations, *reported}:
         reserved = ledger.reservations.get(target)
-        total += max(reserved.memory_bytes if reserved else 0, int(held.get(target, 0)))
+        total += max(
+            reserved.memory_bytes if reserved else 0, int(reported.get(target, 0))
+        )
     return total
 
 
 def claim(ledger: Ledger, report: EngineReport, *, holder: str) -> Ledger:
-    """Return the ledger as taken over, with a fencing number above all seen."""
+    """Take a ledger over under a fencing token higher than any before."""
     fence = max(ledger.fence, report.fence) + 1
     return replace(ledger, fence=fence, holder=holder)
 
@@ -79,25 +86,29 @@
     order_id: str,
     at_s: float,
 ) -> Result[Ledger, str]:
-    """Reserve memory for a load, or say how much is missing."""
+    """Reserve memory for a load; an error if it does not fit."""
     if target in ledger.reservations:
-        return Error(f"{target} is reserved already")
-    short = promised_bytes(ledger, report) + memory_bytes - report.memory_bytes
-    if target in report.held:
-        short -= int(report.held[target])
-    if short > 0:
-        return Error(f"{target}: {short} bytes short")
-    row = Reservation(
+        return Error(f"{target} already has a reservation")
+    missing_bytes = committed_bytes(ledger, report) + memory_bytes - report.memory_bytes
+    if target in report.memory_by_target:
+        missing_bytes -= int(report.memory_by_target[target])
+    if missing_bytes > 0:
+        return Error(
+            f"not enough free memory for {target}: {missing_bytes} bytes missing"
+        )
+    reservation = Reservation(
         memory_bytes=memory_bytes,
         order_id=order_id,
         action=MoveAction.LOAD,
         ordered_at_s=at_s,
     )
-    return Ok(replace(ledger, reservations={**ledger.reservations, target: row}))
+    return Ok(
+        replace(ledger, reservations={**ledger.reservations, target: reservation})
+    )
 
 
 def adopt(ledger: Ledger, report: EngineReport, *, at_s: float) -> Ledger:
-    """Add reservations for what the engine holds and the ledger lacks."""
+    """Add reservations for reported targets that the ledger lacks."""
     missing = {
         target: Reservation(
             memory_bytes=int(size),
@@ -105,7 +116,7 @@
             action=MoveAction.LOAD,
             ordered_at_s=at_s,
         )
-        for target, size in report.held.items()
+        for target, size in report.memory_by_target.items()
         if target not in ledger.reservations
     }
     if not missing:
@@ -116,10 +127,10 @@
 def mark_unloading(
     ledger: Ledger, *, target: str, order_id: str, at_s: float
 ) -> Ledger:
-    """Note that an unload is about to be ordered; the memory stays promised."""
-    row = ledger.reservations[target]
+    """Mark a target for unloading; its memory stays reserved."""
+    reservation = ledger.reservations[target]
     marked = replace(
-        row, action=MoveAction.UNLOAD, order_id=order_id, ordered_at_s=at_s
+        reservation, action=MoveAction.UNLOAD, order_id=order_id, ordered_at_s=at_s
     )
     return replace(ledger, reservations={**ledger.reservations, target: marked})
 
@@ -132,40 +143,45 @@
     now_s: float,
     late_order_bound_s: float,
 ) -> frozenset[str]:
-    """Return the targets whose memory can no longer be filled.
+    """Return the targets whose memory no pending order can use any more.
 
-    An engine that checks fencing numbers and has seen this ledger's refuses
-    every older order; for this number's own orders its word is needed. For
-    an engine that checks nothing, an order that got no word may still land
-    until the longest time that the network can hold it has passed.
+    An engine that checks fencing tokens and has this ledger's token rejects
+    orders with older ones; orders with the current token must be reported as
+    ended. An engine that does not check tokens may still execute an order
+    without a reported state until `late_order_bound_s`, the longest delay of
+    the network, has passed.
     """
-    free = set()
-    for target, row in ledger.reservations.items():
-        if target in report.held:
+    ended = set()
+    for target, reservation in ledger.reservations.items():
+        if target in report.memory_by_target:
             continue
-        state = report.orders.get(row.order_id, "")
+        state = report.orders.get(reservation.order_id, "")
         if state in ("done", "failed"):
-            free.add(target)
-        elif fences and report.fence >= ledger.fence > _fence_of(row.order_id):
-            free.add(target)
-        elif not fences and now_s - row.ordered_at_s > late_order_bound_s:
-            free.add(target)
-    return frozenset(free)
+            ended.add(target)
+        elif fences and report.fence >= ledger.fence > _fence_of(reservation.order_id):
+            ended.add(target)
+        elif not fences and now_s - reservation.ordered_at_s > late_order_bound_s:
+            ended.add(target)
+    return frozenset(ended)
 
 
 def release(ledger: Ledger, targets: frozenset[str]) -> Ledger:
-    """Return the ledger without some reservations."""
-    kept = {t: row for t, row in ledger.reservations.items() if t not in targets}
+    """Return the ledger without the reservations of some targets."""
+    kept = {
+        t: reservation
+        for t, reservation in ledger.reservations.items()
+        if t not in targets
+    }
     return replace(ledger, reservations=kept)
 
 
-def order_id(*, fence: int, number: int, target: str) -> str:
-    """Name an order; the fencing number that it was given under leads."""
+def format_order_id(*, fence: int, number: int, target: str) -> str:
+    """Return an order id that begins with the order's fencing token."""
     return f"{fence}.{number}.{target}"
 
 
-def _fence_of(identity: str) -> int:
-    head = identity.partition(".")[0]
+def _fence_of(order_id: str) -> int:
+    head = order_id.partition(".")[0]
     return int(head) if head.isdigit() else 0
 
 
@@ -176,8 +192,13 @@
             "fence": ledger.fence,
             "holder": ledger.holder,
             "reservations": {
-                target: [row.memory_bytes, row.order_id, row.action, row.ordered_at_s]
-                for target, row in ledger.reservations.items()
+                target: [
+                    reservation.memory_bytes,
+                    reservation.order_id,
+                    reservation.action,
+                    reservation.ordered_at_s,
+                ]
+                for target, reservation in ledger.reservations.items()
             },
         },
         separators=(",", ":"),
@@ -191,11 +212,11 @@
         reservations = {
             str(target): Reservation(
                 memory_bytes=int(size),
-                order_id=str(identity),
+                order_id=str(order_id),
                 action=MoveAction(action),
                 ordered_at_s=float(at_s),
             )
-            for target, (size, identity, action, at_s) in raw["reservations"].items()
+            for target, (size, order_id, action, at_s) in raw["reservations"].items()
         }
         return Ok(
             Ledger(
--- a/src/rosepath/placement_copies.py
+++ b/src/rosepath/placement_copies.py
@@ -1,4 +1,4 @@
-"""Copies and moves: which may go, what they hold, how they are written."""
+"""Helpers for planning: removable copies, their size, and moves."""
 
 from collections.abc import Mapping
 
@@ -7,47 +7,50 @@
 
 
 def pin_allows(view: PlacementView, base: str, engine: EngineView) -> bool:
-    """Tell whether a base may stand on an engine."""
+    """Tell whether the pins of a base allow it on an engine."""
     pins = view.pins.get(base, ())
     return not pins or engine.name in pins
 
 
-def extras_on(
+def extra_copies_on(
     view: PlacementView, engine: EngineView, anchors: Mapping[str, str]
 ) -> list[str]:
-    """Return the bases here whose protected copy is ready elsewhere."""
+    """Return the loaded bases whose anchored copy is ready elsewhere.
+
+    They are sorted by demand, lowest first.
+    """
     extras = []
-    for base in engine.ready - engine.leaving_targets:
+    for base in engine.ready - engine.unloading_targets:
         if base not in view.artifacts or anchors.get(base) == engine.name:
             continue
-        if copy_elsewhere(view, base, engine.name, anchors):
+        if has_anchored_copy_elsewhere(view, base, engine.name, anchors):
             extras.append(base)
     return sorted(extras, key=lambda base: view.demand.get(base, 0))
 
 
-def copy_elsewhere(
-    view: PlacementView, base: str, here: str, anchors: Mapping[str, str]
+def has_anchored_copy_elsewhere(
+    view: PlacementView, base: str, engine_name: str, anchors: Mapping[str, str]
 ) -> bool:
-    """Tell whether the anchored copy is loaded on another engine.
+    """Tell whether the anchored copy is completely loaded on another engine.
 
-    The anchor is kept in the store and changed by conditional update, so two
-    planners with different views can't each unload "the other" copy.
+    The anchor is stored and changed only by conditional update, so two
+    planners with different views cannot each unload the other's copy.
     """
     anchor = view.engines.get(view.anchors.get(base, ""))
-    same = anchors.get(base) == view.anchors.get(base)
-    if anchor is None or anchor.name == here or not same:
+    unchanged = anchors.get(base) == view.anchors.get(base)
+    if anchor is None or anchor.name == engine_name or not unchanged:
         return False
-    return anchor.usable and is_whole(view, base, anchor)
+    return anchor.usable and is_complete(view, base, anchor)
 
 
-def is_whole(view: PlacementView, base: str, engine: EngineView) -> bool:
+def is_complete(view: PlacementView, base: str, engine: EngineView) -> bool:
     """Tell whether a copy is loaded with all of its adapters."""
-    wanted = {base, *view.adapters.get(base, {})}
-    return wanted <= (engine.ready - engine.leaving_targets)
+    required = {base, *view.adapters.get(base, {})}
+    return required <= (engine.ready - engine.unloading_targets)
 
 
-def held_bytes(view: PlacementView, engine: EngineView, base: str) -> int:
-    """Return what a copy takes on an engine, its adapters there included."""
+def copy_bytes(view: PlacementView, engine: EngineView, base: str) -> int:
+    """Return the memory of a copy and its adapters on an engine."""
     adapters = view.adapters.get(base, {})
     extra = sum(size for t, size in adapters.items() if t in engine.targets)
     return view.artifacts.get(base, 0) + extra
--- a/src/rosepath/placement_types.py
+++ b/src/rosepath/placement_types.py
@@ -1,4 +1,4 @@
-"""What placement looks at and what it wants."""
+"""Inputs and result of placement planning."""
 
 from collections.abc import Mapping, Sequence
 from dataclasses import dataclass, field
@@ -9,25 +9,27 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class PlacementPolicy:
-    """Weigh attainment against moves.
+    """Weigh the requests served in time against the number of moves.
 
-    `move_cost_s` is in seconds of one crowded-out request; a larger value
-    makes fewer moves. Crowding is load over slots.
+    `move_cost_s` is in request-seconds above the engines' capacity; a larger
+    value leads to fewer moves. Both thresholds are loads
+    per slot: copies are added for a base if its engines have reached
+    `overload_threshold`, on engines at or below `spare_threshold`.
     """
 
     move_cost_s: float = 20.0
     horizon_s: float = 300.0
-    crowded: float = 0.85
-    idle: float = 0.6
+    overload_threshold: float = 0.85
+    spare_threshold: float = 0.6
     extras_allowed: bool = True
 
 
 @dataclass(slots=True, kw_only=True)
 class EngineView:
-    """Hold what placement knows of one engine.
+    """Hold the state of one engine as planning sees it.
 
-    `free_bytes` counts promises; `ready` and `coming` are targets loaded, and
-    reserved or loading.
+    `free_bytes` excludes memory that is committed to reservations. `ready`
+    are the loaded targets, `coming` those reserved or loading.
     """
 
     name: str
@@ -39,24 +41,25 @@
     draining: bool = False
     ready: frozenset[str] = frozenset()
     coming: frozenset[str] = frozenset()
-    leaving_targets: frozenset[str] = frozenset()
+    unloading_targets: frozenset[str] = frozenset()
 
     @property
     def targets(self) -> frozenset[str]:
-        return (self.ready | self.coming) - self.leaving_targets
+        return (self.ready | self.coming) - self.unloading_targets
 
     @property
-    def open(self) -> bool:
+    def accepts_loads(self) -> bool:
         return self.usable and not self.draining
 
 
 @dataclass(frozen=True, kw_only=True)
 class PlacementView:
-    """Hold everything that a plan depends on.
+    """Hold all inputs of a plan, apart from the policy.
 
-    `artifacts` maps each base to its bytes, `adapters` each base to its
-    adapters' targets and bytes, `demand` each base to its predicted running
-    requests, `anchors` each base to the engine of its protected copy.
+    `artifacts` maps each base to its size in bytes, `adapters` each base to
+    its adapters' targets and sizes, `demand` each base to its predicted number
+    of running requests, `anchors` each base to the engine that must keep a
+    copy, `pins` each base to the only engines that may have it (empty: any).
     """
 
     engines: Mapping[str, EngineView]
@@ -66,24 +69,24 @@
     demand: Mapping[str, float] = field(default_factory=dict)
     pins: Mapping[str, tuple[str, ...]] = field(default_factory=dict)
 
-    def set_bytes(self, base: str) -> int:
-        """Return the bytes of a copy with all of its adapters."""
+    def bytes_with_adapters(self, base: str) -> int:
+        """Return the size of a copy with all of its adapters."""
         return self.artifacts[base] + sum(self.adapters.get(base, {}).values())
 
     @cached_property
-    def holders(self) -> Mapping[str, Sequence[EngineView]]:
-        """Map each target to the usable engines that have or will have it."""
-        holders: dict[str, list[EngineView]] = {}
+    def engines_by_target(self) -> Mapping[str, Sequence[EngineView]]:
+        """Map each target to the usable engines that have it or will load it."""
+        engines_by_target: dict[str, list[EngineView]] = {}
         for engine in self.engines.values():
             if engine.usable:
                 for target in engine.targets:
-                    holders.setdefault(target, []).append(engine)
-        return holders
+                    engines_by_target.setdefault(target, []).append(engine)
+        return engines_by_target
 
 
 @dataclass(frozen=True, slots=True)
 class Plan:
-    """Hold wanted anchors and moves, most needed first."""
+    """Hold the planned anchors and the moves in order of priority."""
 
     anchors: Mapping[str, str]
     moves: tuple[Move, ...]
--- a/src/rosepath/placement_view.py
+++ b/src/rosepath/placement_view.py
@@ -1,14 +1,14 @@
-"""Build the planner's view from ledgers, reports and load rows."""
+"""Build the planner's view from ledgers, engine reports and gossip."""
 
 from collections.abc import Mapping
 
 from rosepath.configuration import Configuration
 from rosepath.engine_keeper import EngineRow
-from rosepath.ledger import promised_bytes
+from rosepath.ledger import committed_bytes
 from rosepath.placement_types import EngineView, PlacementView
 from rosepath.tables import MoveAction, Replica, Tables
 
-REMOTE_STALE_S = 30.0
+REMOTE_REPORT_MAX_AGE_S = 30.0
 
 
 def build_view(
@@ -19,7 +19,7 @@
     *,
     now_s: float,
 ) -> PlacementView:
-    """View own engines by their rows, the others by gossip."""
+    """View engines of this data centre by their rows, others by gossip."""
     adapters: dict[str, dict[str, int]] = {}
     for target, adapter in configuration.adapter_targets.items():
         adapters.setdefault(adapter.model, {})[target] = adapter.memory_bytes
@@ -29,9 +29,9 @@
         if replica is None:
             continue
         if name in rows:
-            view = own_view(rows[name], replica)
+            view = local_engine_view(rows[name], replica)
         else:
-            view = remote_view(replica, configuration, now_s=now_s)
+            view = remote_engine_view(replica, configuration, now_s=now_s)
         view.draining |= name in configuration.table("drain")
         engines[name] = view
     return PlacementView(
@@ -44,11 +44,12 @@
     )
 
 
-def own_view(row: EngineRow, replica: Replica) -> EngineView:
-    """View an engine of this data centre.
+def local_engine_view(row: EngineRow, replica: Replica) -> EngineView:
+    """View an engine of this data centre by its ledger and report.
 
-    One that is not claimed yet has no room, but what it holds counts: were
-    it unusable, a takeover would move all of its models.
+    An engine that is not claimed yet has no free memory, but its resident
+    models count. If it were unusable, each takeover of the lease would move
+    all of its models to other engines.
     """
     report = row.report
     if report is None:
@@ -62,35 +63,36 @@
         )
     unloading = report.closing | {
         target
-        for target, held in row.ledger.reservations.items()
-        if held.action is MoveAction.UNLOAD
+        for target, reservation in row.ledger.reservations.items()
+        if reservation.action is MoveAction.UNLOAD
     }
     ready = frozenset(report.engine.resident)
-    promised = promised_bytes(row.ledger, report.engine)
+    committed = committed_bytes(row.ledger, report.engine)
     return EngineView(
         name=row.name,
         data_centre=replica.data_centre,
         memory_bytes=report.engine.memory_bytes,
-        free_bytes=report.engine.memory_bytes - promised if row.claimed else 0,
+        free_bytes=report.engine.memory_bytes - committed if row.claimed else 0,
         slots=report.slots,
         draining=replica.leaving or report.engine.leaving,
         ready=ready,
         coming=frozenset(row.ledger.reservations) - ready - unloading,
-        leaving_targets=frozenset(unloading),
+        unloading_targets=frozenset(unloading),
     )
 
 
-def remote_view(
+def remote_engine_view(
     replica: Replica, configuration: Configuration, *, now_s: float
 ) -> EngineView:
-    """View an engine of another data centre by its gossiped load row."""
+    """View an engine of another data centre by its gossiped load report."""
     sizes = {
         **configuration.artifacts,
         **{t: a.memory_bytes for t, a in configuration.adapter_targets.items()},
     }
-    # Silence is no proof of loss: a data centre that just started, or whose
-    # reports are on their way, keeps its copies until it is silent for long.
-    heard_at_s = replica.reported_at_s or replica.known_since_s
+    # A missing report does not prove that the copies are lost: the data centre
+    # may have just started. Its copies count until the last report, or the
+    # creation of the row, is REMOTE_REPORT_MAX_AGE_S old.
+    last_report_at_s = replica.reported_at_s or replica.known_since_s
     used = sum(sizes.get(target, 0) for target in replica.resident)
     return EngineView(
         name=replica.name,
@@ -98,7 +100,7 @@
         memory_bytes=replica.memory_bytes,
         free_bytes=replica.memory_bytes - used,
         slots=replica.slots,
-        usable=replica.reachable and now_s - heard_at_s < REMOTE_STALE_S,
+        usable=replica.reachable and now_s - last_report_at_s < REMOTE_REPORT_MAX_AGE_S,
         draining=replica.leaving,
         ready=replica.resident,
     )
--- a/src/rosepath/placer.py
+++ b/src/rosepath/placer.py
@@ -1,7 +1,7 @@
-"""Plan a data centre's placement and carry the moves out.
+"""Plan a data centre's placement and execute the moves.
 
-Runs on whichever entry VM holds the data centre's lease. The planning itself
-is in `placement`; engines and their ledgers are in `engine_keeper`.
+Runs on the entry VM that holds the data centre's placement lease. `placement`
+computes the plan; `engine_keeper` handles engines and their ledgers.
 """
 
 import json
@@ -26,7 +26,7 @@
 
 
 class Placer:
-    """Hold the anchors as last read, and place while holding the lease."""
+    """Own the anchors as last read; plan and order moves as the lease holder."""
 
     def __init__(self, ports: PlacerPorts) -> None:
         self._ports = ports
@@ -34,49 +34,52 @@
         self.anchors: dict[str, str] = {}
         self._anchors_version = 0
         self._anchors_read_s = -1e9
-        self._planned_on = (0, 0, 0)
+        self._planned_basis = (0, 0, 0)
         self._planned_at_s = -1e9
-        self._loads = TokenBucket(rate_per_s=1.0, burst=1)
+        self._load_limiter = TokenBucket(rate_per_s=1.0, burst=1)
 
     async def tick(self) -> None:
-        """Take one round: reports, claims, releases, then moves."""
+        """Run one round: read reports, claim engines, release memory, order moves."""
         keeper = self.keeper
-        keeper.frozen = not self._ports.holds_lease()
-        if keeper.frozen and not keeper.may_go_on():
+        keeper.without_lease = not self._ports.holds_lease()
+        if keeper.without_lease and not keeper.may_order_without_lease():
             keeper.rows.clear()
             self._anchors_version = 0
             return
         try:
-            await self._round()
+            await self._run_round()
         except StoreError as error:
             _log.info("placement_paused", step="store", error=str(error))
 
     def _plan_is_due(self) -> bool:
-        """Tell whether something of this data centre changed, or time passed.
+        """Tell whether local state has changed or PLAN_INTERVAL_S has passed.
 
-        What changes elsewhere (demand, other data centres) may wait.
+        Other changes (demand, other data centres) wait for the interval.
         """
         now_s = self._ports.clock.monotonic_s()
         version = self._ports.configuration().version
-        basis = (self.keeper.changes, version, self._anchors_version)
-        if basis == self._planned_on and now_s - self._planned_at_s < PLAN_INTERVAL_S:
+        basis = (self.keeper.change_count, version, self._anchors_version)
+        if (
+            basis == self._planned_basis
+            and now_s - self._planned_at_s < PLAN_INTERVAL_S
+        ):
             return False
-        self._planned_on, self._planned_at_s = basis, now_s
+        self._planned_basis, self._planned_at_s = basis, now_s
         return True
 
-    async def _round(self) -> None:
-        if not self.keeper.frozen:
+    async def _run_round(self) -> None:
+        if not self.keeper.without_lease:
             await self._read_anchors()
         await self.keeper.update_all()
         if not self._plan_is_due():
             return
-        wanted = plan(self.view(), self.policy())
-        if await self._store_anchors(wanted.anchors):
-            wanted = plan(self.view(), self.policy())
-        await self._carry_out(wanted)
+        planned = plan(self.view(), self.policy())
+        if await self._store_anchors(planned.anchors):
+            planned = plan(self.view(), self.policy())
+        await self._execute_plan(planned)
 
     def policy(self) -> PlacementPolicy:
-        """Return the policy in force at this hour."""
+        """Return the policy for the current hour."""
         settings = self._ports.settings
         hour = datetime.fromtimestamp(self._ports.clock.wall_s(), UTC).hour
         windows = self._ports.configuration().table("quiet_window").values()
@@ -87,8 +90,6 @@
             extras_allowed=not quiet,
         )
 
-    # Anchors
-
     async def _read_anchors(self) -> None:
         now_s = self._ports.clock.monotonic_s()
         if self._anchors_version and now_s - self._anchors_read_s < ANCHORS_READ_S:
@@ -101,15 +102,16 @@
         self.anchors = {str(k): str(v) for k, v in json.loads(stored.value).items()}
         self._anchors_version = stored.version
 
-    async def _store_anchors(self, wanted: Mapping[str, str]) -> bool:
-        """Move protected copies by conditional update, own engines' only.
+    async def _store_anchors(self, planned: Mapping[str, str]) -> bool:
+        """Store anchors onto this data centre's engines by conditional update.
 
-        Return whether the anchors changed.
+        Without the lease they change in memory only. Return whether the
+        planned anchors differed from the known ones.
         """
-        merged = self._merge_anchors(wanted)
+        merged = self._merge_anchors(planned)
         if merged == self.anchors:
             return False
-        if self.keeper.frozen:
+        if self.keeper.without_lease:
             self.anchors = merged
             return True
         try:
@@ -120,34 +122,32 @@
             )
             self.anchors = merged
         except ConflictError:
-            self.forget_anchors()
+            self.invalidate_anchors()
             await self._read_anchors()
         except StoreError:
-            self.forget_anchors()
+            self.invalidate_anchors()
             raise
         return True
 
-    def _merge_anchors(self, wanted: Mapping[str, str]) -> dict[str, str]:
+    def _merge_anchors(self, planned: Mapping[str, str]) -> dict[str, str]:
         rows = self.keeper.rows
         artifacts = self._ports.configuration().artifacts
         merged = {b: e for b, e in self.anchors.items() if b in artifacts}
-        for base, engine in wanted.items():
+        for base, engine in planned.items():
             if engine in rows and rows[engine].claimed:
                 merged[base] = engine
         return merged
 
-    def forget_anchors(self) -> None:
-        """Read the anchors again: another data centre changed them."""
+    def invalidate_anchors(self) -> None:
+        """Read the anchors from the store again before they are next used."""
         self._anchors_version = 0
 
-    # Moves
-
     def view(self) -> PlacementView:
-        """Build the planner's view."""
+        """Build the planner's view under the current configuration."""
         return self.predicted_view(self._ports.configuration())
 
     def predicted_view(self, configuration: Configuration) -> PlacementView:
-        """Build the view as it would be under another configuration."""
+        """Build the planner's view under a given configuration."""
         return build_view(
             configuration,
             self._ports.tables,
@@ -156,51 +156,51 @@
             now_s=self._ports.clock.monotonic_s(),
         )
 
-    async def _carry_out(self, wanted: Plan) -> None:
-        for move in wanted.moves:
+    async def _execute_plan(self, planned: Plan) -> None:
+        for move in planned.moves:
             row = self.keeper.rows.get(move.backend_server)
             if row is None or not self._may_order(row):
                 continue
-            if await self._make(row, move):
-                self._record(move)
+            if await self._execute(row, move):
+                self._record_move(move)
 
     def _may_order(self, row: EngineRow) -> bool:
         if not row.claimed or row.report is None:
             return False
-        fenced = self.keeper.fences(row) and row.fence_noted
-        return fenced or not self.keeper.frozen
+        fenced = self.keeper.fences(row) and row.fence_confirmed
+        return fenced or not self.keeper.without_lease
 
-    async def _make(self, row: EngineRow, move: Move) -> bool:
+    async def _execute(self, row: EngineRow, move: Move) -> bool:
         if move.action is MoveAction.LOAD:
             return self._load_allowed() and await self.keeper.load(row, move)
-        if self.keeper.frozen or not await self._anchor_is_elsewhere(move):
+        if self.keeper.without_lease or not await self._anchor_is_elsewhere(move):
             return False
         return await self.keeper.unload(row, move)
 
     def _load_allowed(self) -> bool:
-        """Keep to this data centre's part of the weight store's limits."""
+        """Apply this data centre's part of the weight store's load limits."""
         settings = self._ports.settings
         engines = self._ports.configuration().engines.values()
         parts = max(1, len({engine.data_centre for engine in engines}))
-        if self.keeper.loading >= max(1, settings.parallel_loads // parts):
+        if self.keeper.loads_in_progress >= max(1, settings.parallel_loads // parts):
             return False
-        self._loads.rate_per_s = settings.loads_per_s / parts
-        return self._loads.take(self._ports.clock.monotonic_s()) <= 0
+        self._load_limiter.rate_per_s = settings.loads_per_s / parts
+        return self._load_limiter.take(self._ports.clock.monotonic_s()) <= 0
 
     async def _anchor_is_elsewhere(self, move: Move) -> bool:
-        """Check against the store that this is not the protected copy.
+        """Check in the store that a move does not unload the anchored copy.
 
-        Only a data centre's own holder anchors onto its engines, so between
-        this read and the unload nobody else can make this copy the anchor.
+        Only the lease holder of a data centre sets anchors onto its engines,
+        so no other VM can anchor this copy between the read and the unload.
         """
         known = dict(self.anchors)
-        self.forget_anchors()
+        self.invalidate_anchors()
         await self._read_anchors()
         return self.anchors == known and (
             self.anchors.get(move.target) != move.backend_server
         )
 
-    def _record(self, move: Move) -> None:
+    def _record_move(self, move: Move) -> None:
         now_s = self._ports.clock.wall_s()
         self._ports.tables.moves.append(
             MoveRecord(at_s=now_s, move=move, outcome="ordered")
