--- a/src/rosepath/ledger.py
+++ b/src/rosepath/ledger.py
@@ -93,9 +93,7 @@
     if target in report.memory_by_target:
         missing_bytes -= int(report.memory_by_target[target])
     if missing_bytes > 0:
-        return Error(
-            f"not enough free memory for {target}: {missing_bytes} bytes missing"
-        )
+        return Error(f"{target} needs {missing_bytes} more bytes of free memory")
     reservation = Reservation(
         memory_bytes=memory_bytes,
         order_id=order_id,
--- a/tests/test_placer.py
+++ b/tests/test_placer.py
@@ -1,4 +1,4 @@
-"""Memory is never promised twice and no model is unloaded to nothing."""
+"""Engine memory is never overcommitted and every model keeps a copy."""
 
 import asyncio
 from dataclasses import dataclass, field
@@ -16,11 +16,11 @@
 from rosepath.settings import PlacementSettings
 from rosepath.tables import Tables
 
-LATE_BOUND_S = 20.0
+LATE_ORDER_BOUND_S = 20.0
 ENGINES = ("e1", "e2", "e3")
 
 
-def declared(*, fences: bool, models: int = 5) -> Configuration:
+def declare_engines_and_models(*, fences: bool, models: int = 5) -> Configuration:
     """Declare three engines of 100 bytes and models of 30 with an adapter."""
     return configuration(
         *(
@@ -35,17 +35,21 @@
 
 
 @dataclass
-class World:
-    """Hold two placers over the same engines and store."""
+class PlacementCluster:
+    """Run two placers, "a" and "b", over the same engines and store.
+
+    `holder` has the placement lease. With `two_holders`, the other placer
+    also acts as the holder, as a VM does that was paused past its lease.
+    """
 
     fences: bool
     clock: ManualClock = field(default_factory=ManualClock)
     platform: FakePlatform = field(default_factory=FakePlatform)
     holder: str = "a"
-    paused_acts: bool = False
+    two_holders: bool = False
 
     def __post_init__(self) -> None:
-        self.configuration = declared(fences=self.fences)
+        self.configuration = declare_engines_and_models(fences=self.fences)
         self.engines = {name: FakeEngine(fences=self.fences) for name in ENGINES}
         by_address = {
             self.configuration.engines[name].address: engine
@@ -61,7 +65,7 @@
         return Placer(
             PlacerPorts(
                 settings=PlacementSettings(
-                    late_order_bound_s=LATE_BOUND_S,
+                    late_order_bound_s=LATE_ORDER_BOUND_S,
                     loads_per_s=100.0,
                     parallel_loads=10,
                 ),
@@ -73,25 +77,25 @@
                 backend=self.backend,
                 clock=self.clock,
                 holds_lease=lambda: (
-                    (self.holder == name or self.paused_acts) and not self.platform.down
+                    (self.holder == name or self.two_holders) and not self.platform.down
                 ),
                 store_reachable=lambda: not self.platform.down,
             )
         )
 
     def tick(self, name: str) -> None:
-        """Let one placer take a round."""
+        """Run one round of a placer."""
         asyncio.run(self.placers[name].tick())
 
     def toggle_drain(self, name: str) -> None:
-        """Declare or delete the drain of an engine."""
+        """Declare the drain of an engine, or delete it if it is declared."""
         drained = name in self.configuration.table("drain")
         put = operation("drain", name)
         change = Operation("drain", name, None) if drained else put
         self.configuration = self.configuration.with_operations([change], version=1)
 
-    def settle(self, *, rounds: int = 30) -> None:
-        """Let the holder work in peace until all is loaded."""
+    def run_rounds(self, *, rounds: int = 30) -> None:
+        """Run rounds of the holder without faults; loads end between rounds."""
         for _ in range(rounds):
             self.clock.advance(1.0)
             for engine in self.engines.values():
@@ -101,152 +105,151 @@
             engine.finish_loading()
 
     def check_memory(self) -> None:
-        """Check the engines' own truth."""
+        """Check that no engine uses more memory than it has."""
         for name, engine in self.engines.items():
             assert engine.used_bytes <= engine.memory_bytes, name
 
     def missing(self) -> set[str]:
-        """Return the declared targets that no engine holds."""
-        held = {
+        """Return the declared targets that are resident on no engine."""
+        resident = {
             target for engine in self.engines.values() for target in engine.resident
         }
-        wanted = {*self.configuration.artifacts, *self.configuration.adapter_targets}
-        return wanted - held
+        declared = {*self.configuration.artifacts, *self.configuration.adapter_targets}
+        return declared - resident
 
 
 @pytest.mark.parametrize("fences", [True, False])
 def test_every_declared_model_is_loaded(fences: bool) -> None:
-    world = World(fences)
-    world.settle()
-    assert world.missing() == set()
-    world.check_memory()
+    cluster = PlacementCluster(fences)
+    cluster.run_rounds()
+    assert cluster.missing() == set()
+    cluster.check_memory()
 
 
-HAPPENINGS = (
+EVENTS = (
     *("swap", "lose", "late", "double", "heal", "land", "load", "late", "drain"),
     *("store", "reply", "wait", "kill", "drain", "demand", "crash", "both"),
 )
-event = st.tuples(
-    st.sampled_from(HAPPENINGS), st.sampled_from(ENGINES), st.integers(0, 4)
-)
-
-
-def play(world: World, what: str, engine_name: str) -> None:
-    """Let one thing happen."""
-    engine = world.engines[engine_name]
-    if what in ("swap", "both"):
-        world.holder = "b" if world.holder == "a" else "a"
-        world.paused_acts = what == "both" and world.fences
-    elif what in ("lose", "late", "double"):
-        engine.fault = what
-    elif what == "heal":
+event = st.tuples(st.sampled_from(EVENTS), st.sampled_from(ENGINES), st.integers(0, 4))
+
+
+def apply_event(cluster: PlacementCluster, kind: str, engine_name: str) -> None:
+    """Apply one event to the cluster or to one engine."""
+    engine = cluster.engines[engine_name]
+    if kind in ("swap", "both"):
+        cluster.holder = "b" if cluster.holder == "a" else "a"
+        cluster.two_holders = kind == "both" and cluster.fences
+    elif kind in ("lose", "late", "double"):
+        engine.fault = kind
+    elif kind == "heal":
         engine.fault = ""
-    elif what == "land":
+    elif kind == "land":
         engine.land_late()
-    elif what == "load":
+    elif kind == "load":
         engine.finish_loading()
-    elif what == "store":
-        world.platform.down = not world.platform.down
-    elif what == "reply":
-        world.platform.lose_replies(f"ledger/{engine_name}", 1)
-    elif what == "wait":
-        for other in world.engines.values():
+    elif kind == "store":
+        cluster.platform.down = not cluster.platform.down
+    elif kind == "reply":
+        cluster.platform.lose_replies(f"ledger/{engine_name}", 1)
+    elif kind == "wait":
+        for other in cluster.engines.values():
             other.land_late()
-        world.clock.advance(LATE_BOUND_S + 1)
-    elif what == "kill":
+        cluster.clock.advance(LATE_ORDER_BOUND_S + 1)
+    elif kind == "kill":
         engine.alive = not engine.alive
-    elif what == "crash":
+    elif kind == "crash":
         engine.resident, engine.loading = {}, {}
-    elif what == "drain":
-        world.toggle_drain(engine_name)
-    elif what == "demand":
-        crowded = f"m{ENGINES.index(engine_name) + 1}"
-        for tables in world.tables.values():
-            tables.demand = {crowded: 40.0}
+    elif kind == "drain":
+        cluster.toggle_drain(engine_name)
+    elif kind == "demand":
+        overloaded = f"m{ENGINES.index(engine_name) + 1}"
+        for tables in cluster.tables.values():
+            tables.demand = {overloaded: 40.0}
 
 
 @settings(max_examples=300, deadline=None)
 @given(st.booleans(), st.lists(event, max_size=25))
-def test_no_interleaving_overcommits_memory(
+def test_memory_is_never_overcommitted_under_any_faults(
     fences: bool, events: list[tuple[str, str, int]]
 ) -> None:
-    # Orders are lost, land late or twice; holders swap at any point, each
-    # with its own stale ledger; the store is down or loses replies; engines
-    # vanish and return. At no step does an engine hold more than it has.
-    world = World(fences)
-    world.configuration = declared(fences=fences, models=8)
-    for what, engine_name, ticks in events:
-        play(world, what, engine_name)
+    # Orders are lost, delayed or duplicated; the lease changes hands at any
+    # point and the placers have stale ledgers; the store is down or loses
+    # responses; engines fail and return. No engine may use more memory than
+    # it has at any step.
+    cluster = PlacementCluster(fences)
+    cluster.configuration = declare_engines_and_models(fences=fences, models=8)
+    for kind, engine_name, ticks in events:
+        apply_event(cluster, kind, engine_name)
         for _ in range(ticks):
-            world.clock.advance(0.5)
-            for name in "ab" if world.paused_acts else world.holder:
-                world.tick(name)
-            world.check_memory()
-    world.paused_acts = world.platform.down = False
-    for engine in world.engines.values():
+            cluster.clock.advance(0.5)
+            for name in "ab" if cluster.two_holders else cluster.holder:
+                cluster.tick(name)
+            cluster.check_memory()
+    cluster.two_holders = cluster.platform.down = False
+    for engine in cluster.engines.values():
         engine.alive, engine.fault = True, ""
         engine.land_late()
-    world.check_memory()
-    world.configuration = declared(fences=fences, models=8)
-    world.clock.advance(LATE_BOUND_S * 2)
-    world.settle()
-    world.check_memory()
-    assert world.missing() == set()
-
-
-def test_no_model_goes_missing_while_a_version_replaces_another() -> None:
-    # A new version is declared beside the old, then the old one is deleted.
-    # The old copy goes only after its declaration is gone.
-    world = World(True)
-    world.settle()
-    world.configuration = world.configuration.with_operations(
+    cluster.check_memory()
+    cluster.configuration = declare_engines_and_models(fences=fences, models=8)
+    cluster.clock.advance(LATE_ORDER_BOUND_S * 2)
+    cluster.run_rounds()
+    cluster.check_memory()
+    assert cluster.missing() == set()
+
+
+def test_base_model_stays_loaded_while_a_version_is_added() -> None:
+    # Loading a new version must not evict the model that it is a version of,
+    # which is still declared.
+    cluster = PlacementCluster(True)
+    cluster.run_rounds()
+    cluster.configuration = cluster.configuration.with_operations(
         [operation("version", "v2", model="m1", memory_bytes=30)], version=2
     )
     for _ in range(20):
-        world.settle(rounds=1)
-        assert "m1" not in world.missing()
-        world.check_memory()
-    assert world.missing() == set()
+        cluster.run_rounds(rounds=1)
+        assert "m1" not in cluster.missing()
+        cluster.check_memory()
+    assert cluster.missing() == set()
 
 
-def test_placement_goes_on_without_the_store_where_engines_fence() -> None:
+def test_placement_continues_during_store_outage_if_engines_check_fences() -> None:
     # The store goes down, then an engine loses its models. The holder may
-    # reload them, since the engine itself orders its writers.
-    world = World(True)
-    world.settle()
-    world.platform.down = True
-    world.tick("a")
-    lost = dict(world.engines["e1"].resident)
+    # load them again, since the engine rejects orders of a previous holder.
+    cluster = PlacementCluster(True)
+    cluster.run_rounds()
+    cluster.platform.down = True
+    cluster.tick("a")
+    lost = dict(cluster.engines["e1"].resident)
     assert lost
-    world.engines["e1"].resident.clear()
-    world.clock.advance(5.0)
-    world.settle()
-    world.check_memory()
-    world.platform.down = False
-    world.settle()
-    assert world.missing() == set()
-
-
-def test_placement_freezes_without_the_store_where_engines_do_not_fence() -> None:
-    world = World(False)
-    world.settle()
-    orders = {name: len(engine.orders) for name, engine in world.engines.items()}
-    world.platform.down = True
-    world.engines["e1"].resident.clear()
-    world.settle()
-    assert orders == {name: len(e.orders) for name, e in world.engines.items()}
-
-
-def test_a_drained_engine_is_emptied_after_its_models_stand_elsewhere() -> None:
-    world = World(True)
-    world.configuration = declared(fences=True, models=4)
-    world.settle()
-    full = max(world.engines, key=lambda name: len(world.engines[name].resident))
-    world.configuration = world.configuration.with_operations(
+    cluster.engines["e1"].resident.clear()
+    cluster.clock.advance(5.0)
+    cluster.run_rounds()
+    cluster.check_memory()
+    cluster.platform.down = False
+    cluster.run_rounds()
+    assert cluster.missing() == set()
+
+
+def test_placement_stops_during_store_outage_if_engines_ignore_fences() -> None:
+    cluster = PlacementCluster(False)
+    cluster.run_rounds()
+    orders = {name: len(engine.orders) for name, engine in cluster.engines.items()}
+    cluster.platform.down = True
+    cluster.engines["e1"].resident.clear()
+    cluster.run_rounds()
+    assert orders == {name: len(e.orders) for name, e in cluster.engines.items()}
+
+
+def test_drained_engine_is_emptied_once_its_models_are_loaded_elsewhere() -> None:
+    cluster = PlacementCluster(True)
+    cluster.configuration = declare_engines_and_models(fences=True, models=4)
+    cluster.run_rounds()
+    full = max(cluster.engines, key=lambda name: len(cluster.engines[name].resident))
+    cluster.configuration = cluster.configuration.with_operations(
         [operation("drain", full)], version=2
     )
     for _ in range(40):
-        world.settle(rounds=1)
-        assert world.missing() == set()
-        world.check_memory()
-    assert world.engines[full].resident == {}
+        cluster.run_rounds(rounds=1)
+        assert cluster.missing() == set()
+        cluster.check_memory()
+    assert cluster.engines[full].resident == {}
