--- a/tests/test_acting_as_one.py
+++ b/tests/test_acting_as_one.py
@@ -1,4 +1,4 @@
-"""Entry VMs act as one under cuts, kills, pauses and a store that misbehaves."""
+"""Entry VMs stay consistent under partitions, kills, pauses and store faults."""
 
 import asyncio
 import json
@@ -22,7 +22,7 @@
 
 
 class ProxiedDeployment(Deployment):
-    """Put a proxy before every peer link and every platform link."""
+    """Place a fault proxy in front of every peer and platform link."""
 
     peer_proxies: dict[str, FaultProxy]
     platform_proxies: dict[str, FaultProxy]
@@ -46,21 +46,24 @@
 
 
 @dataclass
-class Seen:
-    """Hold what a scenario's operators and callers saw."""
+class ScenarioState:
+    """Hold the results of a scenario's operators and callers.
+
+    `faulted` is the entry VM or engine that the scenario kills or pauses.
+    """
 
     version: int = 0
     outcomes: list[int] = field(default_factory=list)
     statuses: list[int] = field(default_factory=list)
     runs: list[str] = field(default_factory=list)
-    killed: str = ""
-    most_at_once: int = 0
-    cut: list[str] = field(default_factory=list)
+    faulted: str = ""
+    max_running: int = 0
+    cut_off: list[str] = field(default_factory=list)
 
 
 @pytest.fixture
-def seen() -> Seen:
-    return Seen()
+def scenario() -> ScenarioState:
+    return ScenarioState()
 
 
 @pytest.fixture
@@ -120,27 +123,29 @@
 
 
 @given(parsers.parse("a limit of {value:d} requests at once"))
-def _limit(proxied: ProxiedDeployment, seen: Seen, value: int) -> None:
+def _limit(proxied: ProxiedDeployment, scenario: ScenarioState, value: int) -> None:
     done = declare_limit(proxied, value, change_id="limit")
-    seen.version = json.loads(done.stdout)["version"]
-    assert proxied.cli("wait", str(seen.version)).returncode == 0
-    proxied.background.run(proxied.until(lambda: all_hold_slots(proxied)))
+    scenario.version = json.loads(done.stdout)["version"]
+    assert proxied.cli("wait", str(scenario.version)).returncode == 0
+    proxied.background.run(proxied.until(lambda: all_have_share_units(proxied)))
 
 
-def all_hold_slots(proxied: ProxiedDeployment) -> bool:
-    """Tell whether the limits are divided over all entry VMs."""
+def all_have_share_units(proxied: ProxiedDeployment) -> bool:
+    """Tell whether the share units are divided over all entry VMs."""
     units = [status(proxied, name).get("share_units", 0) for name in proxied.daemons]
     return sum(units) == UNITS and min(units) >= UNITS // 8
 
 
 @when(parsers.parse('an operator declares a limit under the change id "{change_id}"'))
-def _declare(proxied: ProxiedDeployment, seen: Seen, change_id: str) -> None:
+def _declare(
+    proxied: ProxiedDeployment, scenario: ScenarioState, change_id: str
+) -> None:
     done = declare_limit(proxied, 50, change_id=change_id)
-    seen.version = json.loads(done.stdout)["version"]
+    scenario.version = json.loads(done.stdout)["version"]
 
 
 @when("two operators change the configuration at the same version")
-def _race(proxied: ProxiedDeployment, seen: Seen) -> None:
+def _change_concurrently(proxied: ProxiedDeployment, scenario: ScenarioState) -> None:
     version = int(status(proxied, "entry-1")["version"])
 
     async def run() -> None:
@@ -155,20 +160,20 @@
             )
             for n in (1, 2)
         ]
-        seen.outcomes = [done.returncode for done in await asyncio.gather(*calls)]
+        scenario.outcomes = [done.returncode for done in await asyncio.gather(*calls)]
 
     proxied.background.run(run())
 
 
 @when("a change is accepted and the store is restored from an older backup")
-def _restore(proxied: ProxiedDeployment, seen: Seen) -> None:
+def _restore(proxied: ProxiedDeployment, scenario: ScenarioState) -> None:
     assert proxied.platform is not None
     address = proxied.platform.address
     run = proxied.background.run
     run(proxied.request(address, "POST", "/admin/snapshot"))
     done = declare_limit(proxied, 70, change_id="kept")
-    seen.version = json.loads(done.stdout)["version"]
-    assert proxied.cli("wait", str(seen.version)).returncode == 0
+    scenario.version = json.loads(done.stdout)["version"]
+    assert proxied.cli("wait", str(scenario.version)).returncode == 0
     run(proxied.request(address, "PUT", "/admin/snapshot"))
 
 
@@ -182,15 +187,15 @@
 
 
 @when("one data centre is cut off from its peers and the platform")
-def _cut(proxied: ProxiedDeployment, seen: Seen) -> None:
-    seen.cut = ["entry-2"]
-    for name in seen.cut:
+def _cut(proxied: ProxiedDeployment, scenario: ScenarioState) -> None:
+    scenario.cut_off = ["entry-2"]
+    for name in scenario.cut_off:
         for proxy in (proxied.peer_proxies[name], proxied.platform_proxies[name]):
             set_faults(proxied, proxy, blackhole_up=True, blackhole_down=True)
-    others = proxied.peer_proxies.keys() - set(seen.cut)
-    # The cut entry VM's own calls go through the others' proxies, which
-    # can't tell callers apart: its platform link and its listener are cut,
-    # and what it sends to the others still arrives, one way.
+    others = proxied.peer_proxies.keys() - set(scenario.cut_off)
+    # The partition is one-way: the entry VM's platform link and listener are
+    # cut, but what it sends to the others arrives, since their proxies cannot
+    # tell senders apart.
     assert others
 
 
@@ -208,27 +213,29 @@
 
 
 @when("a change is accepted on the other side")
-def _change_elsewhere(proxied: ProxiedDeployment, seen: Seen) -> None:
+def _change_elsewhere(proxied: ProxiedDeployment, scenario: ScenarioState) -> None:
     done = declare_limit(proxied, 80, change_id="other-side", daemon="entry-1")
-    seen.version = json.loads(done.stdout)["version"]
+    scenario.version = json.loads(done.stdout)["version"]
 
 
 @when("an entry VM is killed")
-def _kill(proxied: ProxiedDeployment, seen: Seen) -> None:
-    seen.killed = "entry-2"
-    proxied.daemons[seen.killed].process.kill()
+def _kill(proxied: ProxiedDeployment, scenario: ScenarioState) -> None:
+    scenario.faulted = "entry-2"
+    proxied.daemons[scenario.faulted].process.kill()
 
 
 @when("it starts again")
-def _start_again(proxied: ProxiedDeployment, seen: Seen) -> None:
-    proxied.daemons[seen.killed].process.start()
+def _start_again(proxied: ProxiedDeployment, scenario: ScenarioState) -> None:
+    proxied.daemons[scenario.faulted].process.start()
 
 
 @when("the placement holder of a data centre is paused while models change")
-def _pause_holder(proxied: ProxiedDeployment, seen: Seen) -> None:
+def _pause_holder(proxied: ProxiedDeployment, scenario: ScenarioState) -> None:
     async def run() -> None:
-        seen.killed = await proxied.until(lambda: placement_holder(proxied, "casa-b"))
-        process = proxied.daemons[seen.killed].process
+        scenario.faulted = await proxied.until(
+            lambda: placement_holder(proxied, "casa-b")
+        )
+        process = proxied.daemons[scenario.faulted].process
         version = "[version.v2]\nmodel = 'claim-drafts'\nmemory_bytes = 30000\n"
         await asyncio.to_thread(proxied.declare, version)
         process.signal(signal.SIGSTOP)
@@ -238,7 +245,7 @@
 
 def placement_holder(proxied: ProxiedDeployment, data_centre: str) -> str:
     for name, daemon in proxied.daemons.items():
-        if daemon.data_centre != data_centre or name in stopped(proxied):
+        if daemon.data_centre != data_centre or name in paused_daemons(proxied):
             continue
         for lease in status(proxied, name).get("leases", []):
             if lease.get("remaining_s", 0) > 0:
@@ -246,7 +253,7 @@
     return ""
 
 
-def stopped(proxied: ProxiedDeployment) -> set[str]:
+def paused_daemons(proxied: ProxiedDeployment) -> set[str]:
     found = set()
     for name, daemon in proxied.daemons.items():
         state = Path(f"/proc/{daemon.process.pid}/stat").read_text().split()[2]
@@ -256,37 +263,38 @@
 
 
 @when("the paused holder wakes up")
-def _wake(proxied: ProxiedDeployment, seen: Seen) -> None:
-    proxied.daemons[seen.killed].process.signal(signal.SIGCONT)
-    proxied.background.run(proxied.until(lambda: states(proxied, seen.killed)))
+def _resume_holder(proxied: ProxiedDeployment, scenario: ScenarioState) -> None:
+    proxied.daemons[scenario.faulted].process.signal(signal.SIGCONT)
+    proxied.background.run(proxied.until(lambda: states(proxied, scenario.faulted)))
 
 
 @when("an engine that holds a model is killed")
-def _kill_engine(proxied: ProxiedDeployment, seen: Seen) -> None:
+def _kill_engine(proxied: ProxiedDeployment, scenario: ScenarioState) -> None:
     async def run() -> None:
-        seen.killed = (await proxied.holders("court-rules"))[0]
-        proxied.engines[seen.killed].kill()
+        scenario.faulted = (await proxied.holders("court-rules"))[0]
+        proxied.engines[scenario.faulted].kill()
 
     proxied.background.run(run())
 
 
 @when("30 callers at once use all entry VMs and one of those is killed")
-def _crowd(proxied: ProxiedDeployment, seen: Seen) -> None:
-    # Places lent to a VM that is killed stay its own until the VM list says
-    # that it is gone. So a VM that lives on must run something before: else
-    # the killed one may hold all places, and nobody could be answered.
+def _call_and_kill(proxied: ProxiedDeployment, scenario: ScenarioState) -> None:
+    # Slots lent to a killed entry VM stay with it until the member list has
+    # it as gone. A surviving VM must therefore run a request first: otherwise
+    # the killed VM may have all slots, and no request would succeed.
     async def run() -> None:
-        watching = asyncio.ensure_future(watch_running(proxied, seen))
+        watching = asyncio.ensure_future(watch_running(proxied, scenario))
         surviving = [name for name in proxied.daemons if name != "entry-3"]
         calls = [
-            asyncio.ensure_future(one_call(proxied, seen, surviving[n % 2]))
+            asyncio.ensure_future(one_call(proxied, scenario, surviving[n % 2]))
             for n in range(20)
         ]
-        await proxied.until(lambda: seen.most_at_once > 0)
+        await proxied.until(lambda: scenario.max_running > 0)
         calls += [
-            asyncio.ensure_future(one_call(proxied, seen, "entry-3")) for _ in range(10)
+            asyncio.ensure_future(one_call(proxied, scenario, "entry-3"))
+            for _ in range(10)
         ]
-        await proxied.until(lambda: len(seen.statuses) > 0)
+        await proxied.until(lambda: len(scenario.statuses) > 0)
         proxied.daemons["entry-3"].process.kill()
         await asyncio.gather(*calls, return_exceptions=True)
         watching.cancel()
@@ -294,33 +302,35 @@
     proxied.background.run(run())
 
 
-async def watch_running(proxied: ProxiedDeployment, seen: Seen) -> None:
+async def watch_running(proxied: ProxiedDeployment, scenario: ScenarioState) -> None:
     while True:
         running = 0
         for engine in proxied.engines.values():
             record = await proxied.record(engine)
             ended = {*record["finished"], *record["cancelled"]}
             running += len(record["started"].keys() - ended)
-        seen.most_at_once = max(seen.most_at_once, running)
+        scenario.max_running = max(scenario.max_running, running)
         await asyncio.sleep(0.01)
 
 
-async def one_call(proxied: ProxiedDeployment, seen: Seen, name: str) -> None:
+async def one_call(
+    proxied: ProxiedDeployment, scenario: ScenarioState, name: str
+) -> None:
     body = {"model": "court-rules", "prompt": uuid.uuid4().hex, "max_tokens": 150}
-    head, answer = await proxied.request(
+    head, response_body = await proxied.request(
         proxied.daemons[name].callers,
         "POST",
         "/v1/completions",
         body=json.dumps(body).encode(),
         headers={"Authorization": f"Bearer {KEY}"},
     )
-    seen.statuses.append(head.status)
+    scenario.statuses.append(head.status)
     if head.status != 200:
-        seen.runs.append(json.loads(answer)["error"]["run"])
+        scenario.runs.append(json.loads(response_body)["error"]["run"])
 
 
 @when("the platform links of all entry VMs swallow everything for a while")
-def _swallow(proxied: ProxiedDeployment) -> None:
+def _blackhole_platform_links(proxied: ProxiedDeployment) -> None:
     async def run() -> None:
         for proxy in proxied.platform_proxies.values():
             proxy.faults = LinkFaults(blackhole_up=True, blackhole_down=True)
@@ -336,13 +346,13 @@
 
 
 @when("a change is accepted after they pass bytes again")
-def _change_later(proxied: ProxiedDeployment, seen: Seen) -> None:
+def _change_later(proxied: ProxiedDeployment, scenario: ScenarioState) -> None:
     for proxy in proxied.platform_proxies.values():
         set_faults(proxied, proxy)
 
     async def run() -> None:
         done = await proxied.until(lambda: accepted(proxied))
-        seen.version = json.loads(done.stdout)["version"]
+        scenario.version = json.loads(done.stdout)["version"]
 
     proxied.background.run(run())
 
@@ -353,7 +363,7 @@
 
 
 @when("a fifth of the peers' packets is lost for a while")
-def _lossy(proxied: ProxiedDeployment) -> None:
+def _lose_peer_packets(proxied: ProxiedDeployment) -> None:
     for proxy in proxied.peer_proxies.values():
         set_faults(proxied, proxy, loss=0.2)
 
@@ -365,41 +375,43 @@
 
 
 @then("nobody was declared dead")
-def _no_deaths(proxied: ProxiedDeployment) -> None:
+def _none_declared_dead(proxied: ProxiedDeployment) -> None:
     for name in proxied.daemons:
         log = (proxied.folder / f"{name}.log").read_text()
         assert "entry_vm_dead" not in log
 
 
 @then("every entry VM has that version in force")
-def _in_force(proxied: ProxiedDeployment, seen: Seen) -> None:
+def _in_force(proxied: ProxiedDeployment, scenario: ScenarioState) -> None:
     for name in proxied.daemons:
-        done = proxied.cli("wait", str(seen.version), daemon=name)
+        done = proxied.cli("wait", str(scenario.version), daemon=name)
         assert done.returncode == 0, done.stderr
 
 
 @then(parsers.parse('repeating "{change_id}" reports it as already applied'))
-def _already(proxied: ProxiedDeployment, seen: Seen, change_id: str) -> None:
+def _reported_as_applied(
+    proxied: ProxiedDeployment, scenario: ScenarioState, change_id: str
+) -> None:
     reply = json.loads(
         declare_limit(proxied, 50, change_id=change_id, daemon="entry-2").stdout
     )
-    assert (reply["version"], reply["already_applied"]) == (seen.version, True)
+    assert (reply["version"], reply["already_applied"]) == (scenario.version, True)
 
 
 @then("one is accepted and the other exits with the conflict code")
-def _one_conflict(seen: Seen) -> None:
-    assert sorted(seen.outcomes) == [0, EXIT_CONFLICT]
+def _one_conflict(scenario: ScenarioState) -> None:
+    assert sorted(scenario.outcomes) == [0, EXIT_CONFLICT]
 
 
 @then("every entry VM keeps the accepted version")
-def _kept(proxied: ProxiedDeployment, seen: Seen) -> None:
+def _keeps_version(proxied: ProxiedDeployment, scenario: ScenarioState) -> None:
     proxied.background.run(proxied.until(lambda: alarm_logged(proxied)))
     for name in proxied.daemons:
-        assert int(status(proxied, name)["version"]) == seen.version
+        assert int(status(proxied, name)["version"]) == scenario.version
 
 
 @then("an alarm is logged")
-def _alarm(proxied: ProxiedDeployment) -> None:
+def _alarm_is_logged(proxied: ProxiedDeployment) -> None:
     assert alarm_logged(proxied)
 
 
@@ -414,41 +426,41 @@
 
 
 @then("callers of both sides are still answered")
-def _both_answer(proxied: ProxiedDeployment) -> None:
+def _both_sides_serve(proxied: ProxiedDeployment) -> None:
     for name in ("entry-1", "entry-2"):
         proxied.background.run(proxied.wait_serving(name))
 
 
 @then("the others list it as dead within three seconds")
-def _dead(proxied: ProxiedDeployment, seen: Seen) -> None:
-    others = [name for name in proxied.daemons if name != seen.killed]
+def _listed_as_dead(proxied: ProxiedDeployment, scenario: ScenarioState) -> None:
+    others = [name for name in proxied.daemons if name != scenario.faulted]
 
-    def all_know() -> bool:
-        return all(states(proxied, n).get(seen.killed) == "dead" for n in others)
+    def all_list_it() -> bool:
+        return all(states(proxied, n).get(scenario.faulted) == "dead" for n in others)
 
-    proxied.background.run(proxied.until(all_know))
+    proxied.background.run(proxied.until(all_list_it))
 
 
 @then("the others list it as alive")
-def _alive(proxied: ProxiedDeployment, seen: Seen) -> None:
-    def all_know() -> bool:
+def _listed_as_alive(proxied: ProxiedDeployment, scenario: ScenarioState) -> None:
+    def all_list_it() -> bool:
         return all(
-            states(proxied, n).get(seen.killed) == "alive" for n in proxied.daemons
+            states(proxied, n).get(scenario.faulted) == "alive" for n in proxied.daemons
         )
 
-    proxied.background.run(proxied.until(all_know))
+    proxied.background.run(proxied.until(all_list_it))
 
 
 @then("another entry VM takes its lease over")
-def _taken_over(proxied: ProxiedDeployment, seen: Seen) -> None:
+def _taken_over(proxied: ProxiedDeployment, scenario: ScenarioState) -> None:
     holder = proxied.background.run(
         proxied.until(lambda: placement_holder(proxied, "casa-b"))
     )
-    assert holder != seen.killed
+    assert holder != scenario.faulted
 
 
 @then("no engine was ever overcommitted")
-def _never_over(proxied: ProxiedDeployment) -> None:
+def _never_overcommitted(proxied: ProxiedDeployment) -> None:
     async def run() -> list[int]:
         alive = [p for p in proxied.engines.values() if p.popen and not p.popen.poll()]
         records = [
@@ -462,18 +474,18 @@
 
 
 @then("every declared model answers")
-def _all_answer(proxied: ProxiedDeployment) -> None:
+def _all_models_served(proxied: ProxiedDeployment) -> None:
     for name in proxied.daemons:
         proxied.background.run(proxied.wait_serving(name))
 
 
 @then(parsers.parse("never more than {value:d} requests ran at once"))
-def _never_more(seen: Seen, value: int) -> None:
-    assert 0 < seen.most_at_once <= value
+def _limit_holds(scenario: ScenarioState, value: int) -> None:
+    assert 0 < scenario.max_running <= value
 
 
 @then("some requests were answered and the others refused as not run")
-def _some(seen: Seen) -> None:
-    assert 200 in seen.statuses
-    assert set(seen.statuses) <= {200, 429}
-    assert set(seen.runs) == {"no"}
+def _some_not_run(scenario: ScenarioState) -> None:
+    assert 200 in scenario.statuses
+    assert set(scenario.statuses) <= {200, 429}
+    assert set(scenario.runs) == {"no"}
