--- a/src/rosepath/engine_keeper.py
+++ b/src/rosepath/engine_keeper.py
@@ -99,7 +99,7 @@
         return self._ports.configuration().engines[row.name].fences
 
     def may_order_without_lease(self) -> bool:
-        """Tell whether orders are allowed although the lease cannot be renewed.
+        """Tell whether orders are allowed while the lease cannot be renewed.
 
         No other VM can acquire the lease while the store is down for all, and
         an engine that checks fencing tokens rejects orders of a previous
@@ -173,7 +173,7 @@
             self.change_count += 1
 
     def _needs_report(self, row: EngineRow, now_s: float) -> bool:
-        """Tell whether an order is in progress or the last report is too old."""
+        """Tell whether an order is in progress or the report is too old."""
         if row.report is None or not row.fence_confirmed:
             return True
         ready = row.report.engine.resident
@@ -292,7 +292,7 @@
                 _log.warning("load_ended_unloaded", peer=row.name, target=target)
 
     async def _resend_lost_orders(self, row: EngineRow) -> None:
-        """Send orders again, under the same id, until the engine reports them."""
+        """Send orders again under their ids until the engine reports them."""
         assert row.report is not None
         now_s = self._ports.clock.monotonic_s()
         for target, reservation in list(row.ledger.reservations.items()):
@@ -333,7 +333,7 @@
         return True
 
     async def unload(self, row: EngineRow, move: Move) -> bool:
-        """Mark a target as unloading and order it; False if it is not loaded."""
+        """Mark a target as unloading and order it; False if not loaded."""
         assert row.report is not None
         if move.target not in row.ledger.reservations:
             row.ledger = adopt(
--- a/src/rosepath/ledger.py
+++ b/src/rosepath/ledger.py
@@ -43,7 +43,8 @@
 class EngineReport:
     """Hold the memory, orders and fencing token that an engine reports.
 
-    `resident` and `loading` map targets to bytes, `orders` order ids to states.
+    `resident` and `loading` map targets to bytes, `orders` maps order ids to
+    states.
     """
 
     memory_bytes: int
@@ -60,7 +61,7 @@
 
 
 def committed_bytes(ledger: Ledger, report: EngineReport | None) -> int:
-    """Return the bytes that may be in use, each target reserved or reported."""
+    """Return the bytes that may be in use, whether reserved or reported."""
     reported = dict(report.memory_by_target) if report else {}
     total = 0
     for target in {*ledger.reservations, *reported}:
--- a/src/rosepath/placement.py
+++ b/src/rosepath/placement.py
@@ -73,7 +73,7 @@
 def _new_anchor(
     view: PlacementView, base: str, available_bytes: Mapping[str, int]
 ) -> EngineView | None:
-    """Prefer engines with a loaded copy, then the one with most free memory."""
+    """Prefer engines with a loaded copy, then those with most free memory."""
     engines = [
         engine
         for engine in view.engines.values()
@@ -125,7 +125,7 @@
 def _adapter_loads(
     view: PlacementView, anchors: Mapping[str, str], available_bytes: dict[str, int]
 ) -> Iterable[Move]:
-    """Load adapters onto engines that have their base, anchored copies first."""
+    """Load adapters onto engines with their base, anchored copies first."""
     missing: list[tuple[bool, str, str, int]] = []
     for engine in view.engines.values():
         if not engine.usable:
--- a/src/rosepath/placement_types.py
+++ b/src/rosepath/placement_types.py
@@ -75,7 +75,7 @@
 
     @cached_property
     def engines_by_target(self) -> Mapping[str, Sequence[EngineView]]:
-        """Map each target to the usable engines that have it or will load it."""
+        """Map each target to the usable engines that have or will load it."""
         engines_by_target: dict[str, list[EngineView]] = {}
         for engine in self.engines.values():
             if engine.usable:
--- a/src/rosepath/placer.py
+++ b/src/rosepath/placer.py
@@ -26,7 +26,10 @@
 
 
 class Placer:
-    """Own the anchors as last read; plan and order moves as the lease holder."""
+    """Own the anchors as last read; plan and order moves with the lease.
+
+    The entry VM calls `tick` regularly, with or without the lease.
+    """
 
     def __init__(self, ports: PlacerPorts) -> None:
         self._ports = ports
@@ -39,7 +42,7 @@
         self._load_limiter = TokenBucket(rate_per_s=1.0, burst=1)
 
     async def tick(self) -> None:
-        """Run one round: read reports, claim engines, release memory, order moves."""
+        """Run one round: read reports, claim, release memory, order moves."""
         keeper = self.keeper
         keeper.without_lease = not self._ports.holds_lease()
         if keeper.without_lease and not keeper.may_order_without_lease():
--- a/tests/test_acting_as_one.py
+++ b/tests/test_acting_as_one.py
@@ -1,4 +1,4 @@
-"""Entry VMs stay consistent under partitions, kills, pauses and store faults."""
+"""Entry VMs stay consistent under partitions, kills and store faults."""
 
 import asyncio
 import json
--- a/tests/test_placer.py
+++ b/tests/test_placer.py
@@ -95,7 +95,7 @@
         self.configuration = self.configuration.with_operations([change], version=1)
 
     def run_rounds(self, *, rounds: int = 30) -> None:
-        """Run rounds of the holder without faults; loads end between rounds."""
+        """Run rounds of the holder; pending loads end before each round."""
         for _ in range(rounds):
             self.clock.advance(1.0)
             for engine in self.engines.values():
