--- a/src/rosepath/claims.py
+++ b/src/rosepath/claims.py
@@ -1,8 +1,8 @@
-"""Idempotency keys: claimed in the store before a request is sent.
+"""Claims on idempotency keys, created in the store before a request is sent.
 
-A balancer's or caller's repeat may come through another entry VM. Whoever
-creates the claim sends the request; everyone else gets its recorded outcome,
-or is told that it can't be known yet.
+A retry by the caller or its load balancer may arrive at another entry VM.
+Only the attempt that creates the claim sends the request. Any other attempt
+gets the recorded outcome, or a refusal if the outcome is not known.
 """
 
 import base64
@@ -21,7 +21,7 @@
 
 
 class ClaimState(StrEnum):
-    """Say how far a claimed request came."""
+    """Progress of the request that holds a claim."""
 
     STARTED = "started"
     DONE = "done"
@@ -30,7 +30,7 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class Outcome:
-    """Hold the answer that a claimed request got."""
+    """The response to a claimed request, as recorded for its retries."""
 
     status: int
     headers: Mapping[str, str] = field(default_factory=dict)
@@ -39,7 +39,7 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class Claim:
-    """Hold a claim as stored; `attempt` tells whose it is."""
+    """A claim as stored; `attempt` identifies the attempt that created it."""
 
     attempt: str
     request_digest: str
@@ -48,7 +48,11 @@
 
 
 class HeldClaim:
-    """Hold a claim that this request made, and record how it ended."""
+    """A claim that the current request created, with its object version.
+
+    Records the request's outcome in the store. A failed write is ignored: the
+    claim stays as started, and retries are refused with an unknown outcome.
+    """
 
     def __init__(
         self, platform: PlatformPort, name: str, version: int, claim: Claim
@@ -59,23 +63,24 @@
         self._claim = claim
 
     async def record(self, outcome: Outcome) -> None:
-        """Record the answer, or, if it is too large, that it is unknown."""
+        """Record the response, or an unknown outcome if it is too large."""
         if len(outcome.body) > MAX_RECORDED_BYTES:
             await self._store(ClaimState.UNKNOWN, None)
         else:
             await self._store(ClaimState.DONE, outcome)
 
     async def record_unknown(self) -> None:
-        """Record that the request may have run and nobody knows the answer."""
+        """Record that the request may have run with an unknown response."""
         await self._store(ClaimState.UNKNOWN, None)
 
     async def withdraw(self) -> None:
-        """Remove the claim of a request that was proven not to have run."""
+        """Delete the claim of a request that is known not to have run."""
         try:
             await self._platform.delete(self._name, expected_version=self._version)
         except (StoreError, ConflictError):
-            # The claim stays as started: a repeat is told `unknown`, which
-            # is stricter than true and never runs the request twice.
+            # The claim stays as started, so a retry is refused with an unknown
+            # outcome. That is stricter than necessary, but it never runs the
+            # request twice.
             return
 
     async def _store(self, state: ClaimState, outcome: Outcome | None) -> None:
@@ -94,13 +99,13 @@
 
 
 def claim_name(caller: str, key: str) -> str:
-    """Return the object that holds a caller's key."""
+    """Return the name of the object that stores a caller's claim on a key."""
     identity = hashlib.sha256(f"{caller}\0{key}".encode()).hexdigest()
     return f"claims/{identity}"
 
 
 def request_digest(method: str, path: str, body: bytes) -> str:
-    """Tell two requests under one key apart."""
+    """Return a digest that detects reuse of a key for another request."""
     return hashlib.sha256(
         b"\0".join([method.encode(), path.encode(), body])
     ).hexdigest()
@@ -146,10 +151,10 @@
 async def make_claim(
     platform: PlatformPort, *, name: str, attempt: str, digest: str
 ) -> HeldClaim | Outcome:
-    """Claim a key, or return the recorded outcome of whoever did.
+    """Claim a key, or return the outcome recorded under an existing claim.
 
-    Raises RefusalError: `run: no` if the store can't say (nothing was sent),
-    `run: unknown` if the first request's outcome is not known.
+    Raises RefusalError: `run: no` if the store is unavailable (nothing was
+    sent), `run: unknown` if the first request's outcome is not known.
     """
     claim = Claim(attempt=attempt, request_digest=digest, state=ClaimState.STARTED)
     try:
@@ -159,11 +164,11 @@
         pass
     except StoreError as error:
         if not error.unknown:
-            raise _store_down(error) from error
+            raise _store_unavailable(error) from error
     try:
         stored = await platform.get(name)
     except StoreError as error:
-        raise _store_down(error) from error
+        raise _store_unavailable(error) from error
     if stored is None:
         raise refuse(
             503,
@@ -176,12 +181,12 @@
         case Result(tag="ok", ok=found):
             if found.attempt == attempt:
                 return HeldClaim(platform, name, stored.version, found)
-            return _others_outcome(found, digest)
+            return _recorded_outcome(found, digest)
         case Result(error=problem):
             raise refuse(409, "claim_unreadable", problem, step=Step.CLAIM)
 
 
-def _store_down(error: StoreError) -> Exception:
+def _store_unavailable(error: StoreError) -> Exception:
     return refuse(
         503,
         "store_unavailable",
@@ -192,7 +197,7 @@
     )
 
 
-def _others_outcome(claim: Claim, digest: str) -> Outcome:
+def _recorded_outcome(claim: Claim, digest: str) -> Outcome:
     if claim.request_digest != digest:
         raise refuse(
             422,
--- a/src/rosepath/deferred.py
+++ b/src/rosepath/deferred.py
@@ -1,9 +1,9 @@
-"""Requests that may wait: stored before they are accepted, run under a lease.
+"""Deferred requests: stored before they are accepted, run under a lease.
 
-A request is one object, `deferred/ID`, until its result stands in
-`results/ID`. Whoever runs it first marks it as running by a conditional
-update; what was marked by a runner that is gone is run again only if it is
-idempotent, and ends as unknown otherwise.
+A request is stored as one object, `deferred/ID`, until its result is stored
+in `results/ID`. A runner marks a request as running by a conditional update
+before it runs it. If that runner is lost, an idempotent request is run again,
+and any other ends as unknown.
 """
 
 import json
@@ -16,15 +16,15 @@
 MAX_BODY_BYTES = 512 * 1024
 MAX_RESULT_BYTES = 900 * 1024
 MAX_RUNS = 5
-# The next try of a run that may be repeated; one that is refused unrun waits longer
-# each time, up to a minute, as each try costs two writes to the store.
-REQUEUE_PAUSE_S = 2.0
-REFUSED_PAUSE_GROWTH = 1.5
-MAX_REFUSED_PAUSE_S = 60.0
+# Delay before a request is run again. The delay grows with each refusal that
+# did not run the request, as each attempt costs two writes to the store.
+REQUEUE_DELAY_S = 2.0
+REFUSAL_DELAY_GROWTH = 1.5
+MAX_REFUSAL_DELAY_S = 60.0
 
 
 class DeferredState(StrEnum):
-    """Say how far a deferred request came."""
+    """Progress of a deferred request."""
 
     QUEUED = "queued"
     RUNNING = "running"
@@ -35,10 +35,10 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class DeferredRequest:
-    """Hold a request that waits, and who runs it.
+    """A deferred request as stored, with the runner that executes it.
 
-    `runs` counts those that may have run, the present one included, `refusals`
-    those that are proven not to have.
+    `runs` counts the runs that may have executed the request, including the
+    current one. `refusals` counts the runs known not to have executed it.
     """
 
     request_id: str
@@ -53,14 +53,14 @@
     refusals: int = 0
 
     @property
-    def run_name(self) -> str:
-        """Name the present run as no other of this request is named."""
+    def run_id(self) -> str:
+        """Id of the current run, unique among the runs of this request."""
         return f"{self.request_id}.{self.runs + self.refusals}"
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class DeferredResult:
-    """Hold how a deferred request ended."""
+    """The result of a deferred request as stored."""
 
     state: DeferredState
     caller: str
@@ -68,7 +68,7 @@
 
 
 class NextStep(StrEnum):
-    """Say what to do about a deferred request now."""
+    """Next action on a deferred request."""
 
     WAIT = "wait"
     RUN = "run"
@@ -84,10 +84,12 @@
     lease_s: float,
     runner_alive: bool,
 ) -> NextStep:
-    """Decide about a request that was seen unchanged for a while.
+    """Decide what to do with a request unchanged for `unchanged_s`.
 
-    A runner renews its mark; one that did not for the length of a lease has
-    stopped, or will find its conditional update refused.
+    A runner renews its lease on a request by updating the stored object. A
+    runner that has not done so for `lease_s` has stopped, or its next
+    conditional update is refused. A runner on a live entry VM gets twice that
+    time.
     """
     if request.state is DeferredState.QUEUED:
         if request.runs >= MAX_RUNS:
@@ -103,34 +105,34 @@
 
 
 def start_run(request: DeferredRequest, *, runner: str) -> DeferredRequest:
-    """Return the request as marked by its runner."""
+    """Return the request marked as running."""
     return replace(
         request, state=DeferredState.RUNNING, runner=runner, runs=request.runs + 1
     )
 
 
 def requeue(
-    request: DeferredRequest, *, now_s: float, pause_s: float = REQUEUE_PAUSE_S
+    request: DeferredRequest, *, now_s: float, delay_s: float = REQUEUE_DELAY_S
 ) -> DeferredRequest:
-    """Return the request as put back after a run that may be repeated."""
+    """Return the request queued again after a run that can be retried."""
     return replace(
         request,
         state=DeferredState.QUEUED,
         runner="",
-        not_before_s=now_s + pause_s,
+        not_before_s=now_s + delay_s,
     )
 
 
-def requeue_unrun(request: DeferredRequest, *, now_s: float) -> DeferredRequest:
-    """Return the request as put back after a run that is proven not to have been.
+def requeue_not_run(request: DeferredRequest, *, now_s: float) -> DeferredRequest:
+    """Return the request queued again after a run that did not execute it.
 
-    It takes its run back, so that no count ends it; it waits longer each time
-    instead, as a try costs two writes to the store.
+    The run does not count towards `MAX_RUNS`. Instead, the delay grows with
+    each refusal, as each attempt costs two writes to the store.
     """
-    growth = REFUSED_PAUSE_GROWTH ** min(request.refusals, 10)
-    pause_s = min(REQUEUE_PAUSE_S * growth, MAX_REFUSED_PAUSE_S)
+    growth = REFUSAL_DELAY_GROWTH ** min(request.refusals, 10)
+    delay_s = min(REQUEUE_DELAY_S * growth, MAX_REFUSAL_DELAY_S)
     return replace(
-        requeue(request, now_s=now_s, pause_s=pause_s),
+        requeue(request, now_s=now_s, delay_s=delay_s),
         runs=request.runs - 1,
         refusals=request.refusals + 1,
     )
@@ -169,7 +171,7 @@
                 state=DeferredState(raw["state"]),
                 runner=str(raw["runner"]),
                 runs=int(raw["runs"]),
-                # Records written by the previous release lack it.
+                # Absent in records written by the previous release.
                 refusals=int(raw.get("refusals", 0)),
             )
         )
--- a/src/rosepath/deferred_execution.py
+++ b/src/rosepath/deferred_execution.py
@@ -1,4 +1,4 @@
-"""Run a deferred request the way its caller's own request would have run."""
+"""Run deferred requests with the admission and dispatch of direct ones."""
 
 from collections.abc import Callable
 
@@ -15,12 +15,12 @@
 from rosepath.tables import Tables
 from rosepath.variants import resolve_target
 
-PRIORITY = -50
-SHARE_OF_SLOTS = 0.7
+DEFERRED_PRIORITY = -50
+MAX_SLOT_UTILIZATION = 0.7
 
 
 class DeferredExecution:
-    """Hold what running a deferred request takes."""
+    """Executes deferred requests; used by the deferred runner."""
 
     def __init__(
         self,
@@ -38,7 +38,7 @@
         self._clock = clock
 
     async def execute(self, request: DeferredRequest) -> bytes:
-        """Return the whole answer; raises RefusalError."""
+        """Return a request's complete response; raises RefusalError."""
         parsed = parse_body(request.shape, request.body.encode())
         if parsed.is_error():
             raise refuse(400, "invalid_body", parsed.error, step=Step.DEFER)
@@ -50,9 +50,9 @@
             raise refuse(404, "model_not_found", model, step=Step.ROUTE)
         generation = make_generation(
             parsed.ok,
-            request_id=request.run_name,
+            request_id=request.run_id,
             target=target,
-            priority=PRIORITY,
+            priority=DEFERRED_PRIORITY,
         )
         events: list[bytes] = []
         async with self._admission.admit(
@@ -74,9 +74,9 @@
 
 
 def has_room(tables: Tables) -> bool:
-    """Tell whether engines have slots to spare for what may wait."""
+    """Tell whether an engine has spare slots for deferred requests."""
     return any(
-        replica.load() < replica.slots * SHARE_OF_SLOTS
+        replica.load() < replica.slots * MAX_SLOT_UTILIZATION
         for replica in tables.replicas.values()
         if not replica.service and replica.reachable and not replica.leaving
     )
--- a/src/rosepath/deferred_handlers.py
+++ b/src/rosepath/deferred_handlers.py
@@ -1,4 +1,4 @@
-"""Take requests that may wait, and show how they stand."""
+"""HTTP handlers that accept deferred requests and return their status."""
 
 import json
 from typing import Any, Literal
@@ -15,7 +15,7 @@
 
 
 class DeferHandler(Handler):
-    """Accept a request to be run later, once it is stored."""
+    """Store a request to be run later, then accept it."""
 
     async def post(self) -> None:
         await self.run(self._accept)
@@ -50,8 +50,8 @@
         try:
             await store_request(self.ports.platform, request)
         except StoreError as error:
-            # A write whose reply was lost may yet run; only a write that is
-            # known to have failed is refused as not run.
+            # If the store's reply was lost, the request may have been stored
+            # and may run. Only a write known to have failed means "not run".
             raise refuse(
                 503,
                 "store_unavailable",
@@ -64,7 +64,7 @@
 
 
 class DeferredStatusHandler(Handler):
-    """Show how a deferred request stands, with its result."""
+    """Return the state of a deferred request, and its result if stored."""
 
     async def get(self, request_id: str) -> None:
         self.deferred_id = request_id
--- a/src/rosepath/deferred_runner.py
+++ b/src/rosepath/deferred_runner.py
@@ -1,4 +1,4 @@
-"""Run deferred requests when there is room, each under its own mark."""
+"""Run deferred requests when engines have spare slots, each under a lease."""
 
 import asyncio
 import json
@@ -22,7 +22,7 @@
     encode_result,
     next_step,
     requeue,
-    requeue_unrun,
+    requeue_not_run,
     start_run,
 )
 from rosepath.errors import RefusalError, Run
@@ -42,8 +42,8 @@
 
 
 @dataclass(slots=True)
-class _Seen:
-    """Hold a request as last read, and since when it is unchanged."""
+class _ObservedRequest:
+    """A request as last read, and the time since which it is unchanged."""
 
     version: int
     since_s: float
@@ -52,7 +52,11 @@
 
 @dataclass(slots=True, kw_only=True)
 class RunnerPorts:
-    """Hold what the runner works with."""
+    """What the runner depends on.
+
+    `me` names this node, `mine` tells whether a stored request is assigned to
+    it, and `is_alive` whether the node of another runner is alive.
+    """
 
     me: str
     platform: PlatformPort
@@ -80,7 +84,10 @@
 async def read_status(
     platform: PlatformPort, request_id: str, caller: str
 ) -> tuple[DeferredState, str] | None:
-    """Return a caller's request's state and result; raises StoreError."""
+    """Return the state and result of a caller's request; raises StoreError.
+
+    Returns None if there is no such request or it is another caller's.
+    """
     stored = await platform.get(RESULT_PREFIX + request_id)
     if stored is not None:
         match decode_result(stored.value):
@@ -98,37 +105,38 @@
 
 @dataclass(slots=True)
 class DeferredRunner:
-    """Hold what was seen of open requests, and run those that are due."""
+    """Runs the stored requests that are assigned to this node and due."""
 
     ports: RunnerPorts
-    seen: dict[str, _Seen] = field(default_factory=dict)
+    observed: dict[str, _ObservedRequest] = field(default_factory=dict)
     running: dict[str, asyncio.Task[None]] = field(default_factory=dict)
 
     async def scan(self) -> None:
-        """Look at the open requests that are this node's to run."""
+        """Process the stored requests that are assigned to this node."""
         try:
             names = await self.ports.platform.list_names(REQUEST_PREFIX)
         except StoreError:
             return
-        for name in self.seen.keys() - set(names):
-            del self.seen[name]
+        for name in self.observed.keys() - set(names):
+            del self.observed[name]
         mine = [n for n in names if self.ports.mine(n) and n not in self.running]
-        # Those that wait are not read: many of them, before the others in the
-        # list, would keep these from ever being run.
-        due = [name for name in mine if not self._waits(name)]
+        # Requests scheduled for later are not read. Otherwise, enough of them
+        # at the head of the list would use up every scan's reads and starve
+        # the rest.
+        due = [name for name in mine if not self._is_scheduled_later(name)]
         for name in due[:MAX_READS_PER_SCAN]:
             if len(self.running) >= MAX_PARALLEL:
                 return
             with suppress(StoreError, ConflictError):
-                await self._look(name)
+                await self._process(name)
 
-    def _waits(self, name: str) -> bool:
-        row = self.seen.get(name)
+    def _is_scheduled_later(self, name: str) -> bool:
+        row = self.observed.get(name)
         if row is None or row.request.state is not DeferredState.QUEUED:
             return False
         return row.request.not_before_s > self.ports.clock.wall_s()
 
-    async def _look(self, name: str) -> None:
+    async def _process(self, name: str) -> None:
         stored = await self.ports.platform.get(name)
         if stored is None:
             return
@@ -138,10 +146,10 @@
             return
         request = decoded.ok
         now_s = self.ports.clock.monotonic_s()
-        row = self.seen.get(name)
+        row = self.observed.get(name)
         if row is None or row.version != stored.version:
-            row = _Seen(stored.version, now_s, request)
-            self.seen[name] = row
+            row = _ObservedRequest(stored.version, now_s, request)
+            self.observed[name] = row
         step = next_step(
             request,
             now_s=self.ports.clock.wall_s(),
@@ -152,18 +160,18 @@
         if step is NextStep.RUN and self.ports.has_room():
             await self._start(name, row)
         elif step is NextStep.END_UNKNOWN:
-            await self._end(name, row, DeferredState.UNKNOWN, "")
+            await self._finish(name, row, DeferredState.UNKNOWN, "")
         elif step is NextStep.END_FAILED:
-            await self._end(name, row, DeferredState.FAILED, "")
+            await self._finish(name, row, DeferredState.FAILED, "")
 
-    async def _start(self, name: str, row: _Seen) -> None:
-        """Mark a request as run here, then run it."""
+    async def _start(self, name: str, row: _ObservedRequest) -> None:
+        """Mark a request as running on this node, then run it."""
         done = await self.ports.platform.get(RESULT_PREFIX + row.request.request_id)
         if done is not None:
             await self.ports.platform.delete(name, expected_version=row.version)
             return
-        # The attempt's own name, so that a mark whose reply was lost is
-        # recognised as this attempt's and as nobody else's.
+        # Unique for each attempt, so that after a lost reply the stored
+        # request shows whether this attempt marked it.
         attempt = f"{self.ports.me}#{uuid.uuid4().hex[:8]}"
         marked = start_run(row.request, runner=attempt)
         if not await self._update(name, row, marked):
@@ -172,7 +180,9 @@
         self.running[name] = task
         task.add_done_callback(lambda _: self.running.pop(name, None))
 
-    async def _update(self, name: str, row: _Seen, request: DeferredRequest) -> bool:
+    async def _update(
+        self, name: str, row: _ObservedRequest, request: DeferredRequest
+    ) -> bool:
         value = encode_request(request)
         try:
             version = await self.ports.platform.put(
@@ -191,7 +201,7 @@
         row.since_s = self.ports.clock.monotonic_s()
         return True
 
-    async def _run(self, name: str, row: _Seen) -> None:
+    async def _run(self, name: str, row: _ObservedRequest) -> None:
         renewing = asyncio.ensure_future(self._renew(name, row))
         try:
             body = await self.ports.execute(row.request)
@@ -203,44 +213,46 @@
             return
         finally:
             renewing.cancel()
-        await self._end_surely(name, row, state, text)
+        await self._finish_with_retries(name, row, state, text)
 
-    async def _renew(self, name: str, row: _Seen) -> None:
+    async def _renew(self, name: str, row: _ObservedRequest) -> None:
         while True:
             await asyncio.sleep(RENEW_S)
             with suppress(StoreError):
                 await self._update(name, row, row.request)
 
-    async def _after_refusal(self, name: str, row: _Seen, error: RefusalError) -> None:
+    async def _after_refusal(
+        self, name: str, row: _ObservedRequest, error: RefusalError
+    ) -> None:
         refusal, now_s = error.refusal, self.ports.clock.wall_s()
-        again: DeferredRequest | None = None
+        requeued: DeferredRequest | None = None
         if refusal.run is Run.NO and refusal.status >= 429:
-            again = requeue_unrun(row.request, now_s=now_s)
+            requeued = requeue_not_run(row.request, now_s=now_s)
         elif row.request.idempotent and refusal.status >= 500:
-            again = requeue(row.request, now_s=now_s)
-        if again is not None:
+            requeued = requeue(row.request, now_s=now_s)
+        if requeued is not None:
             with suppress(StoreError, ConflictError):
-                await self._update(name, row, again)
+                await self._update(name, row, requeued)
             return
         state = DeferredState.FAILED if refusal.run is Run.NO else DeferredState.UNKNOWN
         text = json.dumps({"code": refusal.code, "message": refusal.message})
-        await self._end_surely(name, row, state, text)
+        await self._finish_with_retries(name, row, state, text)
 
-    async def _end_surely(
-        self, name: str, row: _Seen, state: DeferredState, body: str
+    async def _finish_with_retries(
+        self, name: str, row: _ObservedRequest, state: DeferredState, body: str
     ) -> None:
-        """Store a result, however long the store is away."""
-        pause_s = 0.2
+        """Store a result, retrying until the store is available."""
+        delay_s = 0.2
         while True:
             try:
-                await self._end(name, row, state, body)
+                await self._finish(name, row, state, body)
                 return
             except StoreError:
-                await asyncio.sleep(pause_s)
-                pause_s = min(pause_s * 2, 5.0)
+                await asyncio.sleep(delay_s)
+                delay_s = min(delay_s * 2, 5.0)
 
-    async def _end(
-        self, name: str, row: _Seen, state: DeferredState, body: str
+    async def _finish(
+        self, name: str, row: _ObservedRequest, state: DeferredState, body: str
     ) -> None:
         result = DeferredResult(state=state, caller=row.request.caller, body=body)
         result_name = RESULT_PREFIX + row.request.request_id
@@ -250,9 +262,9 @@
             )
         with suppress(ConflictError):
             await self.ports.platform.delete(name, expected_version=row.version)
-        self.seen.pop(name, None)
+        self.observed.pop(name, None)
 
     async def drain(self) -> None:
-        """Wait for the requests that run here."""
+        """Wait for the requests that are running on this node."""
         if self.running:
             await asyncio.wait(list(self.running.values()))
--- a/tests/test_deferred.py
+++ b/tests/test_deferred.py
@@ -1,4 +1,4 @@
-"""Deferred requests are run, at most once where they must, and end."""
+"""Deferred requests run to an end, non-idempotent ones at most once."""
 
 import asyncio
 import json
@@ -18,7 +18,7 @@
     decode_result,
     encode_request,
     next_step,
-    requeue_unrun,
+    requeue_not_run,
     start_run,
 )
 from rosepath.deferred_runner import (
@@ -32,7 +32,7 @@
 
 
 def deferred(**fields: object) -> DeferredRequest:
-    given_: dict = {
+    kwargs: dict = {
         "request_id": "r",
         "caller": "c",
         "shape": "chat",
@@ -40,7 +40,7 @@
         "idempotent": True,
         **fields,
     }
-    return DeferredRequest(**given_)
+    return DeferredRequest(**kwargs)
 
 
 def decide(request: DeferredRequest, unchanged_s: float) -> NextStep:
@@ -53,39 +53,39 @@
     )
 
 
-def test_a_lost_runners_request_is_run_again_only_if_idempotent() -> None:
+def test_request_of_lost_runner_is_run_again_only_if_idempotent() -> None:
     marked = start_run(deferred(), runner="x")
-    once = start_run(deferred(idempotent=False), runner="x")
+    non_idempotent = start_run(deferred(idempotent=False), runner="x")
     assert decide(marked, LEASE_S - 1) is NextStep.WAIT
     assert decide(marked, LEASE_S + 1) is NextStep.RUN
-    assert decide(once, LEASE_S + 1) is NextStep.END_UNKNOWN
+    assert decide(non_idempotent, LEASE_S + 1) is NextStep.END_UNKNOWN
 
 
-def test_a_request_waits_for_its_time() -> None:
+def test_request_waits_until_not_before() -> None:
     assert decide(deferred(not_before_s=9.0), 0.0) is NextStep.WAIT
 
 
 @given(st.binary(max_size=100))
-def test_the_decoders_take_any_bytes(data: bytes) -> None:
+def test_decoders_accept_any_bytes(data: bytes) -> None:
     decode_request(data)
     decode_result(data)
 
 
 class Fleet:
-    """Hold runners over one store, and what they executed."""
+    """Two runners on one store, and the names of those that executed."""
 
     def __init__(self) -> None:
         self.platform = FakePlatform()
         self.clock = ManualClock()
         self.executed: list[str] = []
-        self.hang = asyncio.Event()
+        self.release = asyncio.Event()
         self.runners = {name: self._runner(name) for name in "ab"}
 
     def _runner(self, name: str) -> DeferredRunner:
         async def execute(request: DeferredRequest) -> bytes:
             self.executed.append(name)
             if name == "a":
-                await self.hang.wait()
+                await self.release.wait()
             return b'"answer"'
 
         return DeferredRunner(
@@ -105,8 +105,8 @@
         return found[0] if found else None
 
 
-async def replace_runner(fleet: Fleet) -> None:
-    """Let a mark and start, then vanish; let b scan until its lease is over."""
+async def lose_runner(fleet: Fleet) -> None:
+    """Stop runner a after it starts a run; scan with b past a's lease."""
     await fleet.runners["a"].scan()
     await asyncio.sleep(0)
     for task in fleet.runners["a"].running.values():
@@ -117,32 +117,32 @@
     await fleet.runners["b"].drain()
 
 
-def test_a_non_idempotent_request_of_a_lost_runner_ends_as_unknown() -> None:
+def test_non_idempotent_request_of_lost_runner_ends_as_unknown() -> None:
     async def run() -> None:
         fleet = Fleet()
         await store_request(fleet.platform, deferred(idempotent=False))
-        await replace_runner(fleet)
+        await lose_runner(fleet)
         assert fleet.executed == ["a"]
         assert await fleet.outcome() is DeferredState.UNKNOWN
 
     asyncio.run(run())
 
 
-def test_an_idempotent_request_of_a_lost_runner_is_answered() -> None:
+def test_idempotent_request_of_lost_runner_is_completed() -> None:
     async def run() -> None:
         fleet = Fleet()
         await store_request(fleet.platform, deferred())
-        await replace_runner(fleet)
+        await lose_runner(fleet)
         assert fleet.executed == ["a", "b"]
         assert await fleet.outcome() is DeferredState.DONE
 
     asyncio.run(run())
 
 
-def test_two_runners_that_see_a_request_run_it_once() -> None:
+def test_concurrent_runners_run_a_request_once() -> None:
     async def run() -> None:
         fleet = Fleet()
-        fleet.hang.set()
+        fleet.release.set()
         await store_request(fleet.platform, deferred(idempotent=False))
         await asyncio.gather(*(runner.scan() for runner in fleet.runners.values()))
         for runner in fleet.runners.values():
@@ -153,7 +153,7 @@
     asyncio.run(run())
 
 
-def test_a_stranger_sees_nothing_of_a_request() -> None:
+def test_status_is_hidden_from_other_callers() -> None:
     async def run() -> None:
         fleet = Fleet()
         await store_request(fleet.platform, deferred())
@@ -166,15 +166,15 @@
 
 
 @dataclass(slots=True)
-class Alone:
-    """Hold a runner that scans each second."""
+class SingleRunner:
+    """One runner that scans every second on a manual clock."""
 
     execute: Execute
     platform: FakePlatform = field(default_factory=FakePlatform)
     clock: ManualClock = field(default_factory=lambda: ManualClock(start_s=0.0))
 
-    async def scans(self, *requests: DeferredRequest, for_s: int) -> None:
-        """Run stored requests for some seconds."""
+    async def run_for(self, *requests: DeferredRequest, duration_s: int) -> None:
+        """Store requests and run the scans of `duration_s` seconds."""
         runner = DeferredRunner(
             RunnerPorts(
                 me="a",
@@ -188,107 +188,115 @@
         )
         for request in requests:
             await store_request(self.platform, request)
-        for _ in range(for_s):
+        for _ in range(duration_s):
             await runner.scan()
             await runner.drain()
             await asyncio.sleep(0)
             self.clock.advance(1.0)
 
 
-async def tries_of(
-    refusal_at: Callable[[int], RefusalError | None], *, for_s: int
+async def attempts_of(
+    refusal_at: Callable[[int], RefusalError | None], *, duration_s: int
 ) -> tuple[list[float], tuple[DeferredState, str] | None]:
-    """Run a request that is refused at some tries; return when it was tried."""
-    tries: list[float] = []
+    """Run a request refused at some attempts; return their times and status."""
+    attempts: list[float] = []
 
     async def execute(_: DeferredRequest) -> bytes:
-        tries.append(alone.clock.now_s)
-        refusal = refusal_at(len(tries))
+        attempts.append(single.clock.now_s)
+        refusal = refusal_at(len(attempts))
         if refusal is not None:
             raise refusal
         return b"answer"
 
-    alone = Alone(execute)
-    await alone.scans(deferred(), for_s=for_s)
-    return tries, await read_status(alone.platform, "r", "c")
+    single = SingleRunner(execute)
+    await single.run_for(deferred(), duration_s=duration_s)
+    return attempts, await read_status(single.platform, "r", "c")
 
 
-def used_up() -> RefusalError:
+def concurrency_refusal() -> RefusalError:
     return refuse(429, "concurrency_limit", "used up", step=Step.LIMIT)
 
 
-def test_a_request_that_never_ran_is_not_ended_by_refusals() -> None:
-    # Its caller's own limit was used up for a minute. Each refusal said "not
-    # run" and used up a run nevertheless; after five of them, ten seconds, the
-    # request was "failed" without a word why, though it had never run.
-    tries, status = asyncio.run(
-        tries_of(lambda number: used_up() if number <= 8 else None, for_s=200)
+def test_refusals_without_a_run_do_not_end_a_request() -> None:
+    # Guards against counting refusals with run=no as runs: a caller at its
+    # concurrency limit for a minute had its request marked as failed after
+    # five refusals, ten seconds, without a reason, though it had never run.
+    attempts, status = asyncio.run(
+        attempts_of(
+            lambda number: concurrency_refusal() if number <= 8 else None,
+            duration_s=200,
+        )
     )
     assert status == (DeferredState.DONE, "answer")
-    assert len(tries) == 9
+    assert len(attempts) == 9
 
 
-def test_a_request_that_is_refused_waits_longer_each_time() -> None:
-    # Nothing ends it now, so it must not spin: each try writes to the store.
-    tries, status = asyncio.run(tries_of(lambda _: used_up(), for_s=1000))
-    pauses_s = [after - before for before, after in pairwise(tries)]
+def test_delay_grows_with_each_refusal() -> None:
+    # Refusals never end the request, and each attempt writes to the store, so
+    # attempts must become rare.
+    attempts, status = asyncio.run(
+        attempts_of(lambda _: concurrency_refusal(), duration_s=1000)
+    )
+    pauses_s = [after - before for before, after in pairwise(attempts)]
     assert status == (DeferredState.QUEUED, "")
     assert pauses_s[0] == 2.0 and pauses_s == sorted(pauses_s)
     assert max(pauses_s) == 60.0
-    assert len(tries) < 30
+    assert len(attempts) < 30
 
 
-def test_requests_that_are_refused_keep_no_other_from_being_run() -> None:
-    # A scan reads 32 requests. More than that of one caller, all refused and none
-    # of them ended any more, stood before everybody else's for good.
+def test_refused_requests_do_not_starve_other_requests() -> None:
+    # A scan reads at most 32 requests. More than that from one caller, all
+    # refused and queued again, stayed first in the list and blocked the rest.
     async def run() -> None:
         async def execute(request: DeferredRequest) -> bytes:
             if request.caller == "c":
-                raise used_up()
+                raise concurrency_refusal()
             return b"answer"
 
-        alone = Alone(execute)
-        crowd = [deferred(request_id=f"r{number}") for number in range(60)]
-        await alone.scans(*crowd, deferred(request_id="z", caller="d"), for_s=60)
-        found = await read_status(alone.platform, "z", "d")
+        single = SingleRunner(execute)
+        refused_requests = [deferred(request_id=f"r{number}") for number in range(60)]
+        await single.run_for(
+            *refused_requests, deferred(request_id="z", caller="d"), duration_s=60
+        )
+        found = await read_status(single.platform, "z", "d")
         assert found == (DeferredState.DONE, "answer")
 
     asyncio.run(run())
 
 
-def test_a_request_that_may_have_run_still_uses_up_its_runs() -> None:
-    # A server that dies of it would otherwise be asked for ever; refusals in
-    # between give back no more than their own.
+def test_request_that_may_have_run_ends_after_max_runs() -> None:
+    # Without the limit, a request that crashes its server would be sent
+    # forever. A refusal in between takes back only its own run.
     def refusal_at(number: int) -> RefusalError:
         if number % 2:
-            return used_up()
+            return concurrency_refusal()
         return refuse(502, "backend_failed", "lost", step=Step.SEND, run=Run.UNKNOWN)
 
     async def run() -> None:
-        tries, status = await tries_of(refusal_at, for_s=1000)
-        assert len(tries) == 10
+        attempts, status = await attempts_of(refusal_at, duration_s=1000)
+        assert len(attempts) == 10
         assert status == (DeferredState.FAILED, "")
 
     asyncio.run(run())
 
 
-def test_each_run_has_a_name_of_its_own() -> None:
-    # A run's name goes to engines and lenders of slots: what they are told late
-    # of a refused run must not meet the next.
-    names = [start_run(deferred(), runner="x").run_name]
-    refused = requeue_unrun(start_run(deferred(), runner="x"), now_s=0.0)
-    names.append(start_run(refused, runner="x").run_name)
-    names.append(start_run(start_run(refused, runner="x"), runner="y").run_name)
+def test_each_run_has_a_unique_id() -> None:
+    # Engines and the entry VMs that lend slots track a run by its id: a
+    # delayed message about a refused run must not affect the next run.
+    names = [start_run(deferred(), runner="x").run_id]
+    refused = requeue_not_run(start_run(deferred(), runner="x"), now_s=0.0)
+    names.append(start_run(refused, runner="x").run_id)
+    names.append(start_run(start_run(refused, runner="x"), runner="y").run_id)
     assert len(set(names)) == 3
 
 
-def test_a_stored_request_without_a_count_of_refusals_can_be_read() -> None:
-    # It was stored by an entry VM of the version before.
+def test_record_without_refusals_is_decoded() -> None:
+    # Entry VMs of the previous release store such records.
     raw = json.loads(encode_request(deferred()))
     del raw["refusals"]
     assert decode_request(json.dumps(raw).encode()).ok == deferred()
 
 
-def test_a_count_of_refusals_is_stored() -> None:
+def test_refusals_are_stored() -> None:
     request = replace(deferred(), refusals=3)
     assert decode_request(encode_request(request)).ok == request
