--- a/src/rosepath/configuration.py
+++ b/src/rosepath/configuration.py
@@ -1,4 +1,4 @@
-"""The declared configuration: immutable versions made of content-addressed shards."""
+"""The configuration: immutable versions made of content-addressed shards."""
 
 import hashlib
 import json
@@ -21,18 +21,18 @@
     Route,
     Service,
     Version,
+    as_plain_data,
     parse_declaration,
-    plain,
 )
 
-BUCKETS = 16
-HISTORY_KEPT = 200
+SHARDS_PER_KIND = 16
+MAX_RECORDED_CHANGES = 200
 
 Table = Mapping[str, Any]
 
 
 class Operation(NamedTuple):
-    """Put a declaration, or delete it when `declaration` is None."""
+    """A change to one declaration; it is deleted if `declaration` is None."""
 
     kind: str
     name: str
@@ -40,7 +40,7 @@
 
 
 class ChangeRecord(NamedTuple):
-    """Tell who changed what; `change_id` makes a repeat recognisable."""
+    """An accepted change; `change_id` identifies retries of the same one."""
 
     version: int
     change_id: str
@@ -51,14 +51,14 @@
 
 @dataclass(frozen=True, slots=True)
 class Head:
-    """Name the shards of one version and the changes that led to it."""
+    """The digests of one version's shards, and the latest changes up to it."""
 
     version: int = 0
     shards: Mapping[str, str] = field(default_factory=dict)
     changes: tuple[ChangeRecord, ...] = ()
 
     def find_change(self, change_id: str) -> ChangeRecord | None:
-        """Return the recorded change with this id, if it is remembered."""
+        """Return the change with this id if it is among the recorded ones."""
         for change in reversed(self.changes):
             if change.change_id == change_id:
                 return change
@@ -67,7 +67,7 @@
 
 @dataclass(frozen=True)
 class Configuration:
-    """Hold every declaration of one version, by kind and name."""
+    """All declarations of one version, by kind and name."""
 
     version: int = 0
     tables: Mapping[str, Table] = field(default_factory=dict)
@@ -111,7 +111,7 @@
 
     @cached_property
     def artifacts(self) -> Mapping[str, int]:
-        """Map each loadable base (a model or a version) to its bytes."""
+        """Map each loadable base (model or version) to its size in bytes."""
         sizes = {name: row.memory_bytes for name, row in self.models.items()}
         for name, row in self.versions.items():
             sizes[f"{row.model}@{name}"] = row.memory_bytes
@@ -129,13 +129,13 @@
         return {row.key_sha256: name for name, row in callers.items()}
 
     def is_target(self, name: str) -> bool:
-        """Tell whether a name can be asked for as a model."""
+        """Tell whether requests can name this as their model."""
         return name in self.artifacts or name in self.adapter_targets
 
     def with_operations(
         self, operations: Iterable[Operation], *, version: int
     ) -> "Configuration":
-        """Return the configuration after some operations."""
+        """Return a copy with the operations applied."""
         tables = {kind: dict(table) for kind, table in self.tables.items()}
         for operation in operations:
             table = tables.setdefault(operation.kind, {})
@@ -152,25 +152,25 @@
 
 
 def shard_key(kind: str, name: str) -> str:
-    """Return the shard that holds a declaration."""
-    return f"{kind}-{xxhash.xxh64_intdigest(name.encode()) % BUCKETS}"
+    """Return the key of the shard that contains a declaration."""
+    return f"{kind}-{xxhash.xxh64_intdigest(name.encode()) % SHARDS_PER_KIND}"
 
 
 def digest(data: bytes) -> str:
-    """Return the content address of a shard."""
+    """Return the SHA-256 digest that addresses a shard."""
     return hashlib.sha256(data).hexdigest()
 
 
 def encode_shards(
     configuration: Configuration, keys: frozenset[str] | None = None
 ) -> dict[str, bytes]:
-    """Encode shards canonically, all or only those with the given keys."""
+    """Encode all shards, or those with the given keys, as canonical JSON."""
     shards: dict[str, dict[str, Any]] = {}
     for kind, table in configuration.tables.items():
         for name, row in table.items():
             key = shard_key(kind, name)
             if keys is None or key in keys:
-                shards.setdefault(key, {})[name] = plain(row)
+                shards.setdefault(key, {})[name] = as_plain_data(row)
     return {
         key: json.dumps(rows, sort_keys=True, separators=(",", ":")).encode()
         for key, rows in shards.items()
@@ -178,7 +178,7 @@
 
 
 def encode_head(head: Head) -> bytes:
-    """Encode a head."""
+    """Encode a head for the store or a peer."""
     return json.dumps(
         {
             "version": head.version,
@@ -222,11 +222,11 @@
 
 
 class ConfigurationState:
-    """Hold the version in force; it only ever moves up.
+    """The configuration version in force; the version never decreases.
 
-    Shards are kept encoded by digest, so that a peer can be fed and a new
-    version decodes only what changed. `on_applied` is called for each version
-    that came into force, whoever brought it.
+    Shards are kept encoded, by digest, so that they can be sent to peers and a
+    new version decodes only the changed ones. `on_applied` is called after
+    each version comes into force, from the store, a peer or a local commit.
     """
 
     def __init__(self, *, on_applied: Callable[[], None] = lambda: None) -> None:
@@ -236,16 +236,16 @@
         self.shards: dict[str, bytes] = {}
         self._decoded: dict[str, dict[str, Declaration]] = {}
 
-    def missing(self, head: Head) -> tuple[str, ...]:
-        """Return the digests that a head needs and this node lacks."""
+    def missing_shards(self, head: Head) -> tuple[str, ...]:
+        """Return the digests of a head's shards that this node lacks."""
         return tuple(d for d in set(head.shards.values()) if d not in self.shards)
 
     def apply(self, head: Head, shards: Mapping[str, bytes]) -> Result[bool, str]:
         """Put a head in force if it is newer; return whether it was.
 
-        A head that is not newer is left alone, whoever sends it: a store
-        restored from a backup, or a slow peer, must not take back what an
-        operator was told is accepted.
+        A head that is not newer is ignored, whatever its source: a store
+        restored from a backup or a lagging peer must not revert a change that
+        was reported to an operator as accepted.
         """
         if head.version <= self.head.version:
             return Ok(False)
--- a/src/rosepath/configuration_feed.py
+++ b/src/rosepath/configuration_feed.py
@@ -1,4 +1,4 @@
-"""Take newer configurations from peers, and give them the own one."""
+"""Exchange configurations with other entry VMs."""
 
 import asyncio
 
@@ -17,7 +17,10 @@
 
 
 class ConfigurationFeed:
-    """Move configurations between entry VMs, only the shards that lack."""
+    """Fetches newer configurations from peers and serves the local one.
+
+    Only the shards that the receiver does not have are transferred.
+    """
 
     def __init__(
         self, state: ConfigurationState, tables: Tables, channels: PeerChannels
@@ -25,14 +28,17 @@
         self._state = state
         self._tables = tables
         self._channels = channels
-        self._fetching = asyncio.Lock()
+        self._fetch_lock = asyncio.Lock()
 
     async def fetch(self, name: str) -> None:
-        """Take a newer configuration from a peer."""
+        """Fetch and apply a newer configuration from a peer.
+
+        Does nothing while another fetch is running.
+        """
         member = self._tables.entry_vms.get(name)
-        if member is None or self._fetching.locked():
+        if member is None or self._fetch_lock.locked():
             return
-        async with self._fetching:
+        async with self._fetch_lock:
             state = self._state
             request = FetchConfigurationRequest(
                 known_version=state.head.version, known_digests=list(state.shards)
@@ -44,10 +50,10 @@
             except CALL_FAILURES:
                 self._channels.drop(member.address)
                 return
-            self.take_bundle(bundle)
+            self.apply_bundle(bundle)
 
-    def take_bundle(self, bundle: ConfigurationBundle) -> None:
-        """Put a peer's configuration in force if it is newer and whole."""
+    def apply_bundle(self, bundle: ConfigurationBundle) -> None:
+        """Put a peer's configuration in force if it is newer and complete."""
         if not bundle.head:
             return
         head = decode_head(bundle.head)
@@ -59,7 +65,10 @@
             _log.warning("bundle_refused", reason=applied.error)
 
     def bundle_for(self, request: FetchConfigurationRequest) -> ConfigurationBundle:
-        """Return the own configuration without what the asker has."""
+        """Return the local configuration if it is newer than the requester's.
+
+        Shards that the requester already has are left out.
+        """
         state = self._state
         bundle = ConfigurationBundle()
         if state.head.version <= request.known_version:
--- a/src/rosepath/configuration_follower.py
+++ b/src/rosepath/configuration_follower.py
@@ -1,4 +1,4 @@
-"""Follow the configuration in the store, as a relay or until a first one came."""
+"""Follow the configuration in the store."""
 
 import asyncio
 from collections.abc import Callable
@@ -8,13 +8,17 @@
 from rosepath.logs import get_logger
 from rosepath.object_store import PlatformPort, StoreError
 
-PAUSE_S = 0.5
+POLL_INTERVAL_S = 0.5
 
 _log = get_logger()
 
 
 class ConfigurationFollower:
-    """Watch the head and pull what is newer."""
+    """Watches the head in the store and pulls newer versions.
+
+    Only relays watch the store, and nodes that have no configuration yet. The
+    others fetch newer versions from their peers.
+    """
 
     def __init__(
         self,
@@ -30,19 +34,19 @@
         self._is_relay = is_relay
 
     @property
-    def _wanted(self) -> bool:
+    def _should_follow(self) -> bool:
         return self._is_relay() or self._state.head.version == 0
 
     async def run(self) -> None:
-        """Watch while this node is a relay or has no configuration yet."""
+        """Watch the store while a relay or without a configuration."""
         while True:
-            if not self._wanted:
-                await asyncio.sleep(PAUSE_S)
+            if not self._should_follow:
+                await asyncio.sleep(POLL_INTERVAL_S)
                 continue
             async for event in self._platform.watch(HEAD_NAME):
                 if event.name in ("", HEAD_NAME):
                     await self._pull()
-                if not self._wanted:
+                if not self._should_follow:
                     break
 
     async def _pull(self) -> None:
@@ -50,5 +54,5 @@
             await self._store.pull()
         except (StoreError, ValueError) as error:
             _log.warning("pull_failed", step="store", error=str(error))
-        if self._store.went_back:
+        if self._store.store_is_older:
             _log.error("store_went_back", version=self._state.head.version)
--- a/src/rosepath/configuration_store.py
+++ b/src/rosepath/configuration_store.py
@@ -1,4 +1,4 @@
-"""Read and change the configuration in the platform's store."""
+"""Read and change the configuration in the object store."""
 
 from collections.abc import Sequence
 from dataclasses import dataclass
@@ -6,7 +6,7 @@
 from expression import Error, Ok, Result
 
 from rosepath.configuration import (
-    HISTORY_KEPT,
+    MAX_RECORDED_CHANGES,
     ChangeRecord,
     Configuration,
     ConfigurationState,
@@ -23,12 +23,12 @@
 
 HEAD_NAME = "configuration/head"
 SHARD_PREFIX = "configuration/shards/"
-COMMIT_TRIES = 5
+MAX_COMMIT_ATTEMPTS = 5
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class ProposedChange:
-    """Hold a change as an operator asked for it."""
+    """A change as requested by an operator."""
 
     change_id: str
     expected_version: int
@@ -40,7 +40,7 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class Accepted:
-    """Tell the version at which a change holds."""
+    """An accepted change, and the version in which it takes effect."""
 
     version: int
     diff: tuple[str, ...]
@@ -50,21 +50,21 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class VersionConflict:
-    """Name the newer version that a change raced with."""
+    """Refusal of a change that was made against another version."""
 
     current_version: int
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class Invalid:
-    """List everything that is wrong with a change."""
+    """Refusal of a change with invalid declarations, with all problems."""
 
     problems: tuple[str, ...]
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class StoredHead:
-    """Hold a head with the object version to update it at."""
+    """A head and its object version, for a conditional update."""
 
     head: Head
     object_version: int
@@ -74,12 +74,16 @@
 
 
 class ConfigurationStore:
-    """Move configurations between the store and a node's state."""
+    """Pulls configurations from the store and commits changes to it.
+
+    `store_is_older` tells whether the store's head was older than the version
+    in force at the last pull.
+    """
 
     def __init__(self, platform: PlatformPort, state: ConfigurationState) -> None:
         self._platform = platform
         self._state = state
-        self.went_back = False
+        self.store_is_older = False
 
     async def read_head(self) -> StoredHead:
         """Read the head; raises StoreError."""
@@ -93,40 +97,41 @@
                 raise ValueError(problem)
 
     async def pull(self) -> bool:
-        """Bring the state up to the store; return whether it moved."""
+        """Apply the store's configuration; return whether it was newer."""
         stored = await self.read_head()
-        # A store that comes back older (a restored backup) must not revert
-        # what was accepted; the state ignores it and the alarm is raised.
-        self.went_back = stored.head.version < self._state.head.version
+        # A store restored from a backup must not revert accepted changes. Its
+        # older head is not applied, and the flag makes the follower log an
+        # error.
+        self.store_is_older = stored.head.version < self._state.head.version
         if stored.head.version <= self._state.head.version:
             return False
         shards = {}
-        for address in self._state.missing(stored.head):
+        for address in self._state.missing_shards(stored.head):
             shards[address] = await self._read_shard(address)
         match self._state.apply(stored.head, shards):
-            case Result(tag="ok", ok=moved):
-                return moved
+            case Result(tag="ok", ok=applied):
+                return applied
             case Result(error=problem):
                 raise ValueError(problem)
 
     async def _read_shard(self, address: str) -> bytes:
         stored = await self._platform.get(SHARD_PREFIX + address)
         if stored is None or digest(stored.value) != address:
-            raise ValueError(f"shard {address[:12]} is missing or spoiled")
+            raise ValueError(f"shard {address[:12]} is missing or corrupt")
         return stored.value
 
     async def commit(self, change: ProposedChange) -> Result[Accepted, ChangeFailure]:
         """Accept a change by a conditional update of the head.
 
-        Raises StoreError if it can't be told whether it was accepted; the
-        operator repeats it with the same `change_id` then.
+        Raises StoreError if it is not known whether the change was accepted.
+        The operator then retries it with the same `change_id`.
         """
-        for _ in range(COMMIT_TRIES):
+        for _ in range(MAX_COMMIT_ATTEMPTS):
             await self.pull()
             stored = await self.read_head()
             base = self._state.configuration
             if base.version != stored.head.version:
-                if self.went_back:
+                if self.store_is_older:
                     return Error(VersionConflict(current_version=base.version))
                 continue
             done = stored.head.find_change(change.change_id)
@@ -137,23 +142,23 @@
                 return Ok(accepted)
             if change.expected_version != base.version:
                 return Error(VersionConflict(current_version=base.version))
-            outcome = await self._try_commit(change, stored, base)
+            outcome = await self._attempt_commit(change, stored, base)
             if outcome is not None:
                 return outcome
         return Error(VersionConflict(current_version=self._state.head.version))
 
-    async def _try_commit(
+    async def _attempt_commit(
         self, change: ProposedChange, stored: StoredHead, base: Configuration
     ) -> Result[Accepted, ChangeFailure] | None:
-        """Make one try; None means read back and look again."""
-        wanted = base.with_operations(change.operations, version=base.version + 1)
-        match validate(wanted):
+        """Make one attempt; None means read the head again and retry."""
+        proposed = base.with_operations(change.operations, version=base.version + 1)
+        match validate(proposed):
             case Result(tag="error", error=problems):
                 return Error(Invalid(problems=problems))
-        diff = describe_change(base, wanted)
+        diff = describe_change(base, proposed)
         if change.dry_run:
-            return Ok(Accepted(version=base.version, diff=diff, configuration=wanted))
-        head, shards = next_head(stored.head, wanted, change, diff)
+            return Ok(Accepted(version=base.version, diff=diff, configuration=proposed))
+        head, shards = next_head(stored.head, proposed, change, diff)
         for address, data in shards.items():
             await self._write_shard(address, data)
         try:
@@ -165,17 +170,17 @@
         except StoreError as error:
             if not error.unknown:
                 raise
-            # The reply was lost: whether the write took effect shows in the
-            # head that the next round reads, by the change's id.
+            # The reply was lost. The next attempt reads the head and finds the
+            # change's id in it if the write took effect.
             return None
         self._state.apply(head, {d: s for d, s in shards.items()})
-        return Ok(Accepted(version=head.version, diff=diff, configuration=wanted))
+        return Ok(Accepted(version=head.version, diff=diff, configuration=proposed))
 
     async def _write_shard(self, address: str, data: bytes) -> None:
         try:
             await self._platform.put(SHARD_PREFIX + address, data, expected_version=0)
         except ConflictError:
-            # Content-addressed: whoever wrote it first wrote the same.
+            # Shards are content-addressed: the existing object is identical.
             return
         except StoreError as error:
             if not error.unknown:
@@ -185,16 +190,16 @@
 
 
 def next_head(
-    head: Head, wanted: Configuration, change: ProposedChange, diff: tuple[str, ...]
+    head: Head, proposed: Configuration, change: ProposedChange, diff: tuple[str, ...]
 ) -> tuple[Head, dict[str, bytes]]:
-    """Return the head after a change and the shards that it needs written."""
+    """Return the head after a change, and the shards to write, by digest."""
     touched = frozenset(shard_key(op.kind, op.name) for op in change.operations)
-    encoded = encode_shards(wanted, touched)
+    encoded = encode_shards(proposed, touched)
     shards = {key: value for key, value in head.shards.items() if key not in touched}
     shards |= {key: digest(data) for key, data in encoded.items()}
     record = ChangeRecord(
-        wanted.version, change.change_id, change.operator, change.at_s, diff
+        proposed.version, change.change_id, change.operator, change.at_s, diff
     )
-    changes = (*head.changes, record)[-HISTORY_KEPT:]
-    new = Head(wanted.version, shards, changes)
+    changes = (*head.changes, record)[-MAX_RECORDED_CHANGES:]
+    new = Head(proposed.version, shards, changes)
     return new, {digest(data): data for data in encoded.values()}
--- a/src/rosepath/declarations.py
+++ b/src/rosepath/declarations.py
@@ -1,4 +1,4 @@
-"""What operators declare; checked at the border, plain data classes inside."""
+"""The declarations that make up a configuration, validated on input."""
 
 import fnmatch
 from collections.abc import Mapping
@@ -18,7 +18,7 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class Model:
-    """Declare a model; `memory_bytes` is what one loaded copy takes."""
+    """A model; `memory_bytes` is the memory that one loaded copy takes."""
 
     __pydantic_config__ = _STRICT
     memory_bytes: Bytes
@@ -27,7 +27,7 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class Version:
-    """Declare another version of a model, callable as `model@version`."""
+    """Another version of a model, requested as `model@version`."""
 
     __pydantic_config__ = _STRICT
     model: str
@@ -36,7 +36,7 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class Adapter:
-    """Declare an adapter of a model, callable as `model:adapter`."""
+    """An adapter of a model, requested as `model:adapter`."""
 
     __pydantic_config__ = _STRICT
     model: str
@@ -45,7 +45,7 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class Service:
-    """Declare a plain service and the methods that may be repeated."""
+    """An HTTP service other than a model engine; lists retryable methods."""
 
     __pydantic_config__ = _STRICT
     idempotent_methods: tuple[str, ...] = ("GET", "HEAD", "OPTIONS", "PUT", "DELETE")
@@ -53,7 +53,7 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class Caller:
-    """Declare a caller by the SHA-256 of its key and what it may reach."""
+    """A caller: the SHA-256 of its key and the targets that it may use."""
 
     __pydantic_config__ = _STRICT
     key_sha256: Annotated[str, Field(pattern=r"^[0-9a-f]{64}$")]
@@ -62,7 +62,7 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class Variant:
-    """Give one target its share of a route's requests."""
+    """A target and its share of a route's requests."""
 
     __pydantic_config__ = _STRICT
     target: str
@@ -71,7 +71,7 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class Route:
-    """Split the requests of some callers for a name over variants."""
+    """Splits requests for a name, from matching callers, between variants."""
 
     __pydantic_config__ = _STRICT
     name: str
@@ -82,7 +82,7 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class Limit:
-    """Bound what some callers may have running or start a second."""
+    """Limits concurrent requests and the request rate of matching callers."""
 
     __pydantic_config__ = _STRICT
     callers: tuple[str, ...] = ("*",)
@@ -93,9 +93,9 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class BackendServer:
-    """Declare a model engine or one server of a plain service.
+    """A model engine, or a server of the service named by `service`.
 
-    `fences` says that the engine refuses orders with an old fencing number.
+    `fences` tells that the engine refuses orders with an old fencing token.
     """
 
     __pydantic_config__ = _STRICT
@@ -113,7 +113,7 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class Drain:
-    """Ask that a backend server gets no new work and gives up its models."""
+    """Stops new work on a backend server and moves its models away."""
 
     __pydantic_config__ = _STRICT
     reason: str = ""
@@ -121,7 +121,7 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class QuietWindow:
-    """Forbid moves that are not needed between two hours of the day (UTC)."""
+    """Hours of the day (UTC) during which optional moves are not made."""
 
     __pydantic_config__ = _STRICT
     from_hour: Annotated[int, Field(ge=0, le=23)]
@@ -161,7 +161,7 @@
 
 
 def parse_declaration(kind: str, raw: object) -> Result[Declaration, str]:
-    """Check one declaration given as plain data."""
+    """Validate a declaration given as dicts and lists."""
     adapter = _ADAPTERS.get(kind)
     if adapter is None:
         return Error(f"{kind}: unknown kind; one of {', '.join(KINDS)}")
@@ -172,7 +172,7 @@
 
 
 def parse_declaration_json(kind: str, text: str) -> Result[Declaration, str]:
-    """Check one declaration given as JSON."""
+    """Validate a declaration given as JSON."""
     adapter = _ADAPTERS.get(kind)
     if adapter is None:
         return Error(f"{kind}: unknown kind; one of {', '.join(KINDS)}")
@@ -182,11 +182,11 @@
         return Error(f"{kind}: {first_problem(error)}")
 
 
-def plain(declaration: Declaration) -> dict[str, Any]:
-    """Return a declaration as plain data."""
+def as_plain_data(declaration: Declaration) -> dict[str, Any]:
+    """Return a declaration as dicts and lists."""
     return asdict(declaration)
 
 
 def matches(name: str, patterns: tuple[str, ...]) -> bool:
-    """Tell whether a name matches one of the shell-style patterns."""
+    """Tell whether a name matches any of the shell-style patterns."""
     return any(fnmatch.fnmatchcase(name, pattern) for pattern in patterns)
--- a/src/rosepath/operators.py
+++ b/src/rosepath/operators.py
@@ -1,4 +1,4 @@
-"""Serve operators: typed changes, listings, history, status, watch."""
+"""gRPC service for operators: changes, listings, history, status, watch."""
 
 import asyncio
 import json
@@ -20,7 +20,7 @@
     ProposedChange,
     VersionConflict,
 )
-from rosepath.declarations import KINDS, parse_declaration_json, plain
+from rosepath.declarations import KINDS, as_plain_data, parse_declaration_json
 from rosepath.object_store import StoreError
 from rosepath.proto import rosepath_pb2 as pb
 from rosepath.proto.rosepath_grpc import OperatorsBase
@@ -32,7 +32,10 @@
 
 @dataclass(slots=True, kw_only=True)
 class OperatorPorts:
-    """Hold what the operators' calls work with."""
+    """What the operator service depends on.
+
+    `changed` is notified when another configuration version is in force.
+    """
 
     entry_vm: str
     tables: Tables
@@ -47,7 +50,7 @@
 
 
 class OperatorService(OperatorsBase):
-    """Answer the operators' calls."""
+    """Implements the operators' gRPC service."""
 
     def __init__(self, ports: OperatorPorts) -> None:
         self._ports = ports
@@ -105,7 +108,9 @@
         configuration = self._ports.state.configuration
         rows = [
             pb.Operation(
-                kind=kind, name=name, declaration_json=json.dumps(plain(declaration))
+                kind=kind,
+                name=name,
+                declaration_json=json.dumps(as_plain_data(declaration)),
             )
             for kind in KINDS
             if request.kind in ("", kind)
@@ -124,7 +129,7 @@
         if request is None:
             return
         changes = self._ports.state.head.changes
-        wanted = changes[-request.limit :] if request.limit else changes
+        selected = changes[-request.limit :] if request.limit else changes
         entries = [
             pb.HistoryEntry(
                 version=change.version,
@@ -133,7 +138,7 @@
                 at_s=change.at_s,
                 summary=change.summary,
             )
-            for change in reversed(wanted)
+            for change in reversed(selected)
         ]
         await stream.send_message(pb.HistoryReply(entries=entries))
 
@@ -174,7 +179,7 @@
 
 
 def parse_operations(request: pb.ChangeRequest) -> Result[list[Operation], str]:
-    """Check the operations of a change one by one."""
+    """Parse and validate each operation of a change on its own."""
     if len(request.operations) > MAX_OPERATIONS:
         return Error(f"more than {MAX_OPERATIONS} operations")
     operations = []
@@ -193,7 +198,7 @@
 
 
 def operator_of(stream: "Stream") -> str:
-    """Return the operator's identity: the common name of its certificate."""
+    """Return the common name of the operator's client certificate."""
     certificate = stream.peer.cert() if stream.peer else None
     for part in (certificate or {}).get("subject", ()):
         for key, value in part:
--- a/src/rosepath/validation.py
+++ b/src/rosepath/validation.py
@@ -1,4 +1,4 @@
-"""Whole-configuration checks: names resolve, shares sum, everything fits."""
+"""Checks across a whole configuration: references, shares, keys and memory."""
 
 import heapq
 from collections.abc import Iterable
@@ -11,13 +11,13 @@
 
 
 def validate(configuration: Configuration) -> Result[Configuration, tuple[str, ...]]:
-    """Return the configuration, or everything that is wrong with it."""
+    """Return the configuration, or all problems found in it."""
     problems = [
         *_unresolved_bases(configuration),
         *_bad_routes(configuration),
         *_bad_backend_servers(configuration),
-        *_shared_keys(configuration),
-        *unplaceable(configuration),
+        *_duplicate_keys(configuration),
+        *unplaceable_bases(configuration),
     ]
     return Error(tuple(problems)) if problems else Ok(configuration)
 
@@ -61,7 +61,7 @@
                 yield f"model {name}: pinned to unknown backend_server {pin!r}"
 
 
-def _shared_keys(configuration: Configuration) -> Iterable[str]:
+def _duplicate_keys(configuration: Configuration) -> Iterable[str]:
     seen: dict[str, str] = {}
     for name, row in configuration.table("caller").items():
         other = seen.setdefault(row.key_sha256, name)
@@ -69,8 +69,8 @@
             yield f"caller {name}: has the same key as {other}"
 
 
-def floor_sizes(configuration: Configuration) -> dict[str, int]:
-    """Return the bytes of one copy of each base with all of its adapters."""
+def minimum_memory_bytes(configuration: Configuration) -> dict[str, int]:
+    """Return the size of one copy of each base with all of its adapters."""
     sizes = dict(configuration.artifacts)
     for adapter in configuration.adapters.values():
         if adapter.model in sizes:
@@ -78,26 +78,27 @@
     return sizes
 
 
-def unplaceable(configuration: Configuration) -> Iterable[str]:
-    """Tell which bases find no room when one copy of each is packed.
+def unplaceable_bases(configuration: Configuration) -> Iterable[str]:
+    """Report the bases that do not fit when one copy of each is placed.
 
-    Largest first, each onto the engine with the most room left; what this
-    places is placeable for sure.
+    Bases are placed largest first, each on the engine with the most free
+    memory. This is a heuristic: a configuration that it accepts fits, but it
+    may reject one that another placement would fit.
     """
-    sizes = floor_sizes(configuration)
+    sizes = minimum_memory_bytes(configuration)
     if not sizes:
         return
     drained = configuration.table("drain")
-    rooms = [
+    free_bytes = [
         (-row.memory_bytes, name)
         for name, row in configuration.engines.items()
         if name not in drained
     ]
-    heapq.heapify(rooms)
+    heapq.heapify(free_bytes)
     for base, size in sorted(sizes.items(), key=lambda item: (-item[1], item[0])):
-        largest = -rooms[0][0] if rooms else 0
+        largest = -free_bytes[0][0] if free_bytes else 0
         if size <= largest:
-            heapq.heapreplace(rooms, (size - largest, rooms[0][1]))
+            heapq.heapreplace(free_bytes, (size - largest, free_bytes[0][1]))
             continue
         yield (
             f"{base}: needs {size} bytes with its adapters; the most room left "
@@ -106,7 +107,7 @@
 
 
 def describe_change(before: Configuration, after: Configuration) -> tuple[str, ...]:
-    """Return a line for each declaration that a change adds, alters or drops."""
+    """Return a line for each declaration added, altered or deleted."""
     lines = []
     for kind in sorted({*before.tables, *after.tables}):
         old, new = before.table(kind), after.table(kind)
--- a/tests/test_configuration.py
+++ b/tests/test_configuration.py
@@ -1,4 +1,4 @@
-"""Configurations only move up, whole, whoever sends them."""
+"""Configuration versions never decrease and are applied as a whole."""
 
 import asyncio
 from itertools import pairwise
@@ -41,8 +41,8 @@
     )
 
 
-def versions(count: int) -> list[tuple[Head, dict[str, bytes]]]:
-    """Build a history, each version with every shard that it needs."""
+def build_history(count: int) -> list[tuple[Head, dict[str, bytes]]]:
+    """Return heads of consecutive versions, each with all of its shards."""
     head, current = Head(), Configuration()
     history = []
     for number in range(1, count + 1):
@@ -55,8 +55,8 @@
 
 
 @given(st.lists(st.integers(0, 9), max_size=40))
-def test_no_order_of_arrival_takes_a_node_back(order: list[int]) -> None:
-    history = versions(10)
+def test_version_never_decreases_in_any_order_of_arrival(order: list[int]) -> None:
+    history = build_history(10)
     state = ConfigurationState()
     seen = [0]
     for number in order:
@@ -67,25 +67,25 @@
 
 
 @given(st.binary(max_size=200))
-def test_decoders_take_any_bytes(data: bytes) -> None:
+def test_decoders_accept_any_bytes(data: bytes) -> None:
     decode_head(data)
     decode_shard("model-1", data)
     decode_shard("nonsense", data)
 
 
-def test_a_head_without_its_shards_changes_nothing() -> None:
+def test_head_without_its_shards_is_not_applied() -> None:
     state = ConfigurationState()
-    head, _ = versions(1)[0]
+    head, _ = build_history(1)[0]
     assert state.apply(head, {}).is_error()
     assert state.head.version == 0
 
 
-def test_head_survives_encoding() -> None:
-    head, _ = versions(3)[-1]
+def test_head_encoding_round_trips() -> None:
+    head, _ = build_history(3)[-1]
     assert decode_head(encode_head(head)).ok == head
 
 
-def test_validation_says_what_is_short() -> None:
+def test_validation_reports_all_problems() -> None:
     wrong = configuration(
         engine_operation("e1", memory_bytes=50),
         operation("model", "big", memory_bytes=80),
@@ -101,7 +101,7 @@
     return ConfigurationStore(platform, ConfigurationState())
 
 
-def test_racing_operators_get_one_acceptance_and_one_conflict() -> None:
+def test_concurrent_changes_get_one_acceptance_and_one_conflict() -> None:
     async def run() -> None:
         platform = FakePlatform()
         first, second = store_of(platform), store_of(platform)
@@ -117,9 +117,9 @@
     asyncio.run(run())
 
 
-def test_a_lost_reply_is_not_applied_twice() -> None:
-    # The operator sees its change accepted once: the head is written, the
-    # store's reply is lost, and reading back finds the change's id.
+def test_change_with_lost_reply_is_applied_once() -> None:
+    # The head is written but the store's reply is lost. Reading the head again
+    # finds the change's id, so the change is reported as accepted.
     async def run() -> None:
         platform = FakePlatform()
         store = store_of(platform)
@@ -133,10 +133,10 @@
     asyncio.run(run())
 
 
-def test_a_version_that_a_conflicting_change_pulled_is_announced() -> None:
-    # A node that lags takes an operator's change: it reads the newer version
-    # first and answers with a conflict. Its tables must follow that version
-    # all the same, or it would serve the old one until the next change.
+def test_on_applied_is_called_for_version_pulled_by_conflicting_change() -> None:
+    # A lagging node pulls the newer version while it handles a change, which
+    # then fails with a conflict. Without the callback, its tables would keep
+    # the old version until the next change.
     async def run() -> None:
         platform = FakePlatform()
         applied: list[int] = []
@@ -152,7 +152,7 @@
     asyncio.run(run())
 
 
-def test_an_invalid_change_is_refused_whole() -> None:
+def test_invalid_change_writes_no_head() -> None:
     async def run() -> None:
         platform = FakePlatform()
         outcome = await store_of(platform).commit(
@@ -164,9 +164,9 @@
     asyncio.run(run())
 
 
-def test_a_store_that_comes_back_older_takes_nothing_back() -> None:
-    # Version 2 was accepted and is in force; the store is restored from a
-    # backup that holds version 1. The node keeps 2 and raises the alarm.
+def test_older_store_does_not_revert_accepted_changes() -> None:
+    # Version 2 is in force when the store is restored from a backup of version
+    # 1. The node keeps version 2, sets `store_is_older` and refuses changes.
     async def run() -> None:
         platform = FakePlatform()
         store = store_of(platform)
@@ -176,7 +176,7 @@
         await store.commit(change(later, change_id="d", expected_version=1))
         platform.objects = backup
         assert not await store.pull()
-        assert store.went_back
+        assert store.store_is_older
         refused = await store.commit(change(later, change_id="e", expected_version=2))
         assert refused.is_error()
 
