--- a/src/rosepath/cli.py
+++ b/src/rosepath/cli.py
@@ -1,4 +1,4 @@
-"""The operators' command line: `rosepath`, a thin client of the operators' RPC."""
+"""The `rosepath` command line, a client of the operators' gRPC service."""
 
 import asyncio
 import json
@@ -36,13 +36,13 @@
 ) -> int:
     """Apply a TOML file of declarations as one change.
 
-    The file has a table per declaration, `[KIND.NAME]`; a name under
-    `[delete]` with a list of `KIND/NAME` is removed.
+    The file has one table per declaration, `[KIND.NAME]`. The top-level list
+    `delete` names declarations to remove, each as `KIND/NAME`.
 
     :param file: TOML file
-    :param change_id: repeat it to learn whether a change was accepted
+    :param change_id: reuse the id of a change to learn whether it was accepted
     :param expected_version: version that the change is made against; -1: current
-    :param dry_run: only show the differences and the moves
+    :param dry_run: only show the differences and the predicted moves
     :param output: table or json
     """
     try:
@@ -79,14 +79,14 @@
     dry_run: bool = False,
     output: Output = "table",
 ) -> int:
-    """Declare one thing, given as JSON.
+    """Create or replace one declaration, given as JSON.
 
     :param kind: model, version, adapter, service, caller, route, limit, ...
     :param name: its name
     :param declaration: its fields as JSON
-    :param change_id: repeat it to learn whether a change was accepted
+    :param change_id: reuse the id of a change to learn whether it was accepted
     :param expected_version: version that the change is made against; -1: current
-    :param dry_run: only show the differences and the moves
+    :param dry_run: only show the differences and the predicted moves
     :param output: table or json
     """
     operation = pb.Operation(kind=kind, name=name, declaration_json=declaration)
@@ -106,9 +106,9 @@
 
     :param kind: its kind
     :param name: its name
-    :param change_id: repeat it to learn whether a change was accepted
+    :param change_id: reuse the id of a change to learn whether it was accepted
     :param expected_version: version that the change is made against; -1: current
-    :param dry_run: only show the differences and the moves
+    :param dry_run: only show the differences and the predicted moves
     :param output: table or json
     """
     operation = pb.Operation(kind=kind, name=name)
@@ -116,10 +116,10 @@
 
 
 def drain(backend_server: str, *, reason: str = "", output: Output = "table") -> int:
-    """Send a backend server no new work and move its models away.
+    """Stop new work on a backend server and move its models away.
 
     :param backend_server: its name
-    :param reason: why, for the history
+    :param reason: recorded with the drain
     :param output: table or json
     """
     text = json.dumps({"reason": reason})
@@ -127,7 +127,7 @@
 
 
 def undrain(backend_server: str, *, output: Output = "table") -> int:
-    """Take a drained backend server back into use.
+    """Return a drained backend server to use.
 
     :param backend_server: its name
     :param output: table or json
@@ -279,7 +279,7 @@
 
 
 def moves(*, output: Output = "table") -> int:
-    """Show the moves that this entry VM ordered, and why.
+    """Show the moves ordered by this entry VM, with their reasons.
 
     :param output: table or json
     """
@@ -300,7 +300,7 @@
     """Wait until a version is in force on every live entry VM.
 
     :param version: the version
-    :param timeout_s: give up after this long and name the laggards
+    :param timeout_s: after this long, fail and name the entry VMs still behind
     """
 
     async def work(stub: OperatorsStub) -> list[str]:
@@ -329,7 +329,7 @@
     """Print each new version as it comes into force.
 
     :param after_version: only later versions
-    :param count: stop after so many; 0: never
+    :param count: stop after this many versions; 0: never
     """
 
     async def work(stub: OperatorsStub) -> None:
--- a/src/rosepath/cli_calls.py
+++ b/src/rosepath/cli_calls.py
@@ -1,4 +1,4 @@
-"""What the commands share: the daemon's address, calls, exit codes, output."""
+"""Shared by the commands: connection to the daemon, exit codes and output."""
 
 import asyncio
 import json
@@ -50,7 +50,10 @@
 
 
 def call(work: Callable[[OperatorsStub], Awaitable[T]]) -> T:
-    """Run one conversation with the daemon; exit with a stable code on failure."""
+    """Run `work` on a connection to the daemon.
+
+    On failure, exits with a code that depends only on the kind of failure.
+    """
 
     async def run() -> T:
         async with _channel() as channel:
@@ -67,7 +70,7 @@
 
 
 def print_table(header: Sequence[str], rows: Sequence[Sequence[object]]) -> None:
-    """Print rows under a header, columns aligned."""
+    """Print rows under a header in aligned columns."""
     lines = [header, *[[str(cell) for cell in row] for row in rows]]
     widths = [max(len(line[n]) for line in lines) for n in range(len(header))]
     for line in lines:
