--- a/src/rosepath/deferred_runner.py
+++ b/src/rosepath/deferred_runner.py
@@ -54,8 +54,9 @@
 class RunnerPorts:
     """What the runner depends on.
 
-    `me` names this node, `mine` tells whether a stored request is assigned to
-    it, and `is_alive` whether the node of another runner is alive.
+    The predicates tell whether a stored request is assigned to this node,
+    whether the node of another runner is alive, and whether engines have spare
+    slots.
     """
 
     me: str
--- a/src/rosepath/operators.py
+++ b/src/rosepath/operators.py
@@ -34,7 +34,7 @@
 class OperatorPorts:
     """What the operator service depends on.
 
-    `changed` is notified when another configuration version is in force.
+    The condition is notified when another configuration version is in force.
     """
 
     entry_vm: str
--- a/src/rosepath/validation.py
+++ b/src/rosepath/validation.py
@@ -89,16 +89,18 @@
     if not sizes:
         return
     drained = configuration.table("drain")
-    free_bytes = [
+    free_memory_heap = [
         (-row.memory_bytes, name)
         for name, row in configuration.engines.items()
         if name not in drained
     ]
-    heapq.heapify(free_bytes)
+    heapq.heapify(free_memory_heap)
     for base, size in sorted(sizes.items(), key=lambda item: (-item[1], item[0])):
-        largest = -free_bytes[0][0] if free_bytes else 0
+        largest = -free_memory_heap[0][0] if free_memory_heap else 0
         if size <= largest:
-            heapq.heapreplace(free_bytes, (size - largest, free_bytes[0][1]))
+            heapq.heapreplace(
+                free_memory_heap, (size - largest, free_memory_heap[0][1])
+            )
             continue
         yield (
             f"{base}: needs {size} bytes with its adapters; the most room left "
