--- a/src/rosepath/deferred_runner.py
+++ b/src/rosepath/deferred_runner.py
@@ -120,11 +120,11 @@
             return
         for name in self.observed.keys() - set(names):
             del self.observed[name]
-        mine = [n for n in names if self.ports.mine(n) and n not in self.running]
+        assigned = [n for n in names if self.ports.mine(n) and n not in self.running]
         # Requests scheduled for later are not read. Otherwise, enough of them
         # at the head of the list would use up every scan's reads and starve
         # the rest.
-        due = [name for name in mine if not self._is_scheduled_later(name)]
+        due = [name for name in assigned if not self._is_scheduled_later(name)]
         for name in due[:MAX_READS_PER_SCAN]:
             if len(self.running) >= MAX_PARALLEL:
                 return
