--- a/benchmarks/placement.py
+++ b/benchmarks/placement.py
@@ -8,7 +8,7 @@
 from benchmarks._private import OUT, show
 from benchmarks.demand import DAY_S, MAHKAMA, ZAGORKA, Day, Shape
 from rosepath.placement import plan
-from rosepath.placement_demand import crowding
+from rosepath.placement_demand import load_per_slot
 from rosepath.placement_types import EngineView, PlacementPolicy, PlacementView
 from rosepath.tables import Move, MoveAction, MoveReason
 from rosepath.token_bucket import TokenBucket
@@ -30,13 +30,13 @@
     memory_bytes: int
     slots: int
     ready: dict[str, int] = field(default_factory=dict)
-    coming: dict[str, tuple[int, float]] = field(default_factory=dict)
+    pending: dict[str, tuple[int, float]] = field(default_factory=dict)
     alive: bool = True
 
     @property
     def used_bytes(self) -> int:
-        coming = sum(size for size, _ in self.coming.values())
-        return sum(self.ready.values()) + coming
+        pending = sum(size for size, _ in self.pending.values())
+        return sum(self.ready.values()) + pending
 
 
 @dataclass(slots=True)
@@ -83,7 +83,7 @@
                 slots=engine.slots,
                 usable=engine.alive,
                 ready=frozenset(engine.ready),
-                coming=frozenset(engine.coming),
+                pending=frozenset(engine.pending),
             )
             for engine in self.engines.values()
         }
@@ -101,13 +101,13 @@
             engine = self.engines[name]
             alive = not start_s <= self.now_s < end_s
             if engine.alive and not alive:
-                engine.ready, engine.coming = {}, {}
+                engine.ready, engine.pending = {}, {}
             engine.alive = alive
         for engine in self.engines.values():
-            for target, (size, due_s) in list(engine.coming.items()):
+            for target, (size, due_s) in list(engine.pending.items()):
                 if due_s <= self.now_s:
                     engine.ready[target] = size
-                    del engine.coming[target]
+                    del engine.pending[target]
 
     def carry_out(self, moves: list[Move]) -> None:
         """Carry moves out as far as memory and the weight store allow."""
@@ -121,14 +121,14 @@
 
     def _load(self, engine: FakeEngine, target: str) -> bool:
         size = self.sizes[target]
-        loading = sum(len(e.coming) for e in self.engines.values())
-        if target in engine.ready or target in engine.coming or not engine.alive:
+        loading = sum(len(e.pending) for e in self.engines.values())
+        if target in engine.ready or target in engine.pending or not engine.alive:
             return False
         if engine.used_bytes + size > engine.memory_bytes:
             return False
         if loading >= self.shape.parallel_loads or self._weights.take(self.now_s) > 0:
             return False
-        engine.coming[target] = (size, self.now_s + self.shape.load_s)
+        engine.pending[target] = (size, self.now_s + self.shape.load_s)
         return True
 
     def _count_move(self) -> None:
@@ -228,7 +228,9 @@
     def decide(fleet: Fleet, view: PlacementView, now_s: float) -> list[Move]:
         hour = now_s / 3600 % 24
         asleep = quiet is not None and (hour >= quiet[0] or hour < quiet[1])
-        policy = PlacementPolicy(move_cost_s=move_cost_s, extras_allowed=not asleep)
+        policy = PlacementPolicy(
+            move_cost_s=move_cost_s, demand_copies_allowed=not asleep
+        )
         wanted = plan(view, policy)
         fleet.anchors = dict(wanted.anchors)
         return list(plan(replace(view, anchors=fleet.anchors), policy).moves)
@@ -238,7 +240,7 @@
 
 def static_policy(fleet: Fleet, view: PlacementView, _: float) -> list[Move]:
     """Keep the floor and nothing else."""
-    policy = PlacementPolicy(extras_allowed=False)
+    policy = PlacementPolicy(demand_copies_allowed=False)
     fleet.anchors = dict(plan(view, policy).anchors)
     return list(plan(replace(view, anchors=fleet.anchors), policy).moves)
 
@@ -248,7 +250,7 @@
     moves = static_policy(fleet, view, now_s)
     if moves:
         return moves
-    load = crowding(view)
+    load = load_per_slot(view)
     for model, demand in sorted(view.demand.items(), key=lambda item: -item[1]):
         holders = [n for n, e in view.engines.items() if model in e.targets]
         if demand < 0.5 or not holders or min(load[n] for n in holders) < 0.85:
--- a/src/rosepath/backend_watch.py
+++ b/src/rosepath/backend_watch.py
@@ -85,7 +85,7 @@
         elif (
             leaving is False
             and replica.leaving
-            and row.key.name not in self._tables.vm_leaving
+            and row.key.name not in self._tables.leaving_vms
         ):
             replica.leaving = False
             self._publish_leaving(row.key.name, leaving=False)
@@ -98,6 +98,6 @@
             return
         self.ever_listed |= self.vms.keys()
         leaving = {n for n, state in self.vms.items() if state is VmState.LEAVING}
-        self._tables.vm_leaving = leaving
+        self._tables.leaving_vms = leaving
         for name in leaving & self._tables.replicas.keys():
             self.note_leaving(name)
--- a/src/rosepath/caller_handler.py
+++ b/src/rosepath/caller_handler.py
@@ -18,7 +18,7 @@
 from rosepath.clock import Clock
 from rosepath.configuration import Configuration
 from rosepath.declarations import matches
-from rosepath.dispatch import Dispatcher, Terms
+from rosepath.dispatch import Dispatcher, RequestOptions
 from rosepath.errors import Refusal, RefusalError, Run, Step, refuse
 from rosepath.logs import get_logger
 from rosepath.object_store import PlatformPort
@@ -180,7 +180,7 @@
         if reason:
             raise refuse(503, "not_ready", reason, step=Step.ROUTE, retry_after_s=1.0)
 
-    def terms(self, *, idempotent: bool, span: trace.Span) -> Terms:
+    def request_options(self, *, idempotent: bool, span: trace.Span) -> RequestOptions:
         """Read the request's deadline and idempotency from its headers."""
         settings = self.ports.settings
         timeout_s = settings.routing.request_timeout_s
@@ -195,7 +195,7 @@
                 )
             timeout_s = min(timeout_s, int(header_value) / 1000)
         marked_idempotent = self.marked_idempotent()
-        return Terms(
+        return RequestOptions(
             idempotent=idempotent and marked_idempotent,
             deadline_s=self.ports.clock.monotonic_s() + timeout_s,
             data_centre=settings.data_centre,
--- a/src/rosepath/claim_outcome.py
+++ b/src/rosepath/claim_outcome.py
@@ -21,7 +21,7 @@
         self._outcome: Outcome | None = None
 
     @property
-    def wanted(self) -> bool:
+    def must_record(self) -> bool:
         """Whether the response must be buffered for recording."""
         return self._claim is not None
 
@@ -43,6 +43,6 @@
             await asyncio.shield(self._claim.record_unknown())
 
 
-def settled(claimed: HeldClaim | None) -> ClaimOutcome:
+def settle_claim(claimed: HeldClaim | None) -> ClaimOutcome:
     """Return a context manager that updates a claim on the request's end."""
     return ClaimOutcome(claimed)
--- a/src/rosepath/configuration_feed.py
+++ b/src/rosepath/configuration_exchange.py
@@ -16,7 +16,7 @@
 _log = get_logger()
 
 
-class ConfigurationFeed:
+class ConfigurationExchange:
     """Fetches newer configurations from peers and serves the local one.
 
     Only the shards that the receiver does not have are transferred.
--- a/src/rosepath/deferred_execution.py
+++ b/src/rosepath/deferred_execution.py
@@ -8,9 +8,9 @@
 from rosepath.clock import Clock
 from rosepath.configuration import Configuration
 from rosepath.deferred import DeferredRequest
-from rosepath.dispatch import Dispatcher, Terms
+from rosepath.dispatch import Dispatcher, RequestOptions
 from rosepath.errors import Step, refuse
-from rosepath.openai_api import collect_answer, make_generation, parse_body
+from rosepath.openai_api import collect_response, make_generation, parse_body
 from rosepath.settings import Settings
 from rosepath.tables import Tables
 from rosepath.variants import resolve_target
@@ -61,11 +61,11 @@
             await self._dispatcher.generate(
                 generation, self._terms(request), events.append
             )
-        return collect_answer(b"".join(events), generation)
+        return collect_response(b"".join(events), generation)
 
-    def _terms(self, request: DeferredRequest) -> Terms:
+    def _terms(self, request: DeferredRequest) -> RequestOptions:
         timeout_s = self._settings.routing.request_timeout_s
-        return Terms(
+        return RequestOptions(
             idempotent=request.idempotent,
             deadline_s=self._clock.monotonic_s() + timeout_s,
             data_centre=self._settings.data_centre,
@@ -73,7 +73,7 @@
         )
 
 
-def has_room(tables: Tables) -> bool:
+def has_spare_slots(tables: Tables) -> bool:
     """Tell whether an engine has spare slots for deferred requests."""
     return any(
         replica.load() < replica.slots * MAX_SLOT_UTILIZATION
--- a/src/rosepath/deferred_runner.py
+++ b/src/rosepath/deferred_runner.py
@@ -63,9 +63,9 @@
     platform: PlatformPort
     clock: Clock
     execute: Execute
-    mine: Callable[[str], bool]
+    is_assigned: Callable[[str], bool]
     is_alive: Callable[[str], bool]
-    has_room: Callable[[], bool]
+    has_spare_slots: Callable[[], bool]
 
 
 async def store_request(platform: PlatformPort, request: DeferredRequest) -> None:
@@ -120,7 +120,9 @@
             return
         for name in self.observed.keys() - set(names):
             del self.observed[name]
-        assigned = [n for n in names if self.ports.mine(n) and n not in self.running]
+        assigned = [
+            n for n in names if self.ports.is_assigned(n) and n not in self.running
+        ]
         # Requests scheduled for later are not read. Otherwise, enough of them
         # at the head of the list would use up every scan's reads and starve
         # the rest.
@@ -158,7 +160,7 @@
             lease_s=LEASE_S,
             runner_alive=self.ports.is_alive(request.runner),
         )
-        if step is NextStep.RUN and self.ports.has_room():
+        if step is NextStep.RUN and self.ports.has_spare_slots():
             await self._start(name, row)
         elif step is NextStep.END_UNKNOWN:
             await self._finish(name, row, DeferredState.UNKNOWN, "")
--- a/src/rosepath/dispatch.py
+++ b/src/rosepath/dispatch.py
@@ -43,7 +43,7 @@
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
-class Terms:
+class RequestOptions:
     """Deadline, idempotency and tracing context of one caller's request."""
 
     idempotent: bool
@@ -65,7 +65,7 @@
     refused: set[str] = field(default_factory=set)
     evidence: list[Evidence] = field(default_factory=list)
     attempts: int = 0
-    paid: bool = False
+    retry_reserved: bool = False
     last_error: str = ""
     last_peer: str = ""
 
@@ -100,7 +100,10 @@
         self._on_leaving = on_leaving
 
     async def generate(
-        self, generation: Generation, terms: Terms, on_events: OnBytes
+        self,
+        generation: Generation,
+        request_options: RequestOptions,
+        on_events: OnBytes,
     ) -> StreamChecker:
         """Stream a model's response to `on_events`, resuming after failures.
 
@@ -111,14 +114,16 @@
         history = _AttemptHistory()
         self.budget.earn()
         while not checker.complete:
-            replica = await self._choose(generation.target, keys, terms, history)
+            replica = await self._choose(
+                generation.target, keys, request_options, history
+            )
             remaining = replace(generation, offset=checker.offset)
             try:
                 await self._attempt(
-                    replica, remaining, terms, checker, history, on_events
+                    replica, remaining, request_options, checker, history, on_events
                 )
             except (ExchangeError, NotRunError, StreamBrokenError) as error:
-                self._after_failure(replica, error, terms, checker, history)
+                self._after_failure(replica, error, request_options, checker, history)
             else:
                 self.prefixes.note(keys, replica.name)
         self._count_dropped_chunks(checker)
@@ -128,7 +133,7 @@
         self,
         replica: Replica,
         generation: Generation,
-        terms: Terms,
+        request_options: RequestOptions,
         checker: StreamChecker,
         history: _AttemptHistory,
         on_events: OnBytes,
@@ -142,10 +147,12 @@
             return on_events(forwarded) if forwarded else None
 
         def may_break_off() -> bool:
-            history.paid = self._may_abort(replica, generation, terms, checker, history)
-            return history.paid
+            history.retry_reserved = self._may_abort(
+                replica, generation, request_options, checker, history
+            )
+            return history.retry_reserved
 
-        context = trace.set_span_in_context(terms.span)
+        context = trace.set_span_in_context(request_options.span)
         attributes: dict[str, str | int] = {
             "peer": replica.name,
             "offset": generation.offset,
@@ -155,12 +162,14 @@
         ) as span:
             replica.own_starts[key] = started_s
             try:
-                async with exchange_timeout(terms.deadline_s - started_s, replica.name):
+                async with exchange_timeout(
+                    request_options.deadline_s - started_s, replica.name
+                ):
                     await self.backend.generate(
                         replica.address,
                         replace(generation, traceparent=traceparent_of(span)),
                         on_bytes,
-                        self._send_policy(terms, may_break_off),
+                        self._send_policy(request_options, may_break_off),
                     )
             except asyncio.CancelledError:
                 self._cancel_later(replica, generation.request_id)
@@ -172,13 +181,15 @@
         note_success(replica, held_s=self._clock.monotonic_s() - started_s)
 
     def _send_policy(
-        self, terms: Terms, may_break_off: Callable[[], bool]
+        self, request_options: RequestOptions, may_break_off: Callable[[], bool]
     ) -> SendPolicy:
         # A middlebox that has dropped a connection's state discards a request
         # without an error, so it is unknown whether the request ran.
         # Non-idempotent requests therefore use a new connection, or a pooled
         # one that received a response recently.
-        max_idle_s = None if terms.idempotent else self.settings.proven_live_within_s
+        max_idle_s = (
+            None if request_options.idempotent else self.settings.proven_live_within_s
+        )
         return SendPolicy(
             connect_timeout_s=self.settings.connect_timeout_s,
             progress_timeout_s=self.settings.progress_timeout_s,
@@ -190,7 +201,7 @@
         self,
         replica: Replica,
         generation: Generation,
-        terms: Terms,
+        request_options: RequestOptions,
         checker: StreamChecker,
         history: _AttemptHistory,
     ) -> bool:
@@ -202,7 +213,9 @@
             # the last token.
             excluded = history.refused
         return self.may_abort_attempt(
-            self._as_attempt(evidence, terms, history, attempts=history.attempts + 1),
+            self._as_attempt(
+                evidence, request_options, history, attempts=history.attempts + 1
+            ),
             self.tables.replicas.values(),
             generation.target,
             excluded=excluded,
@@ -233,12 +246,16 @@
         asyncio.ensure_future(self.backend.cancel(replica.address, request_id))
 
     async def _choose(
-        self, target: str, keys: list[int], terms: Terms, history: _AttemptHistory
+        self,
+        target: str,
+        keys: list[int],
+        request_options: RequestOptions,
+        history: _AttemptHistory,
     ) -> Replica:
-        left_s = terms.deadline_s - self._clock.monotonic_s()
+        left_s = request_options.deadline_s - self._clock.monotonic_s()
         request = RoutingRequest(
             target=target,
-            data_centre=terms.data_centre,
+            data_centre=request_options.data_centre,
             prefix_home=self.prefixes.find(keys),
             prefix_key=str(keys[0]) if keys else "",
             tried=frozenset(history.tried | history.refused),
@@ -249,7 +266,7 @@
         )
         if replica is None:
             raise self._unavailable(target, history)
-        wait_s = predicted_first_token_s(replica, terms.data_centre)
+        wait_s = predicted_first_token_s(replica, request_options.data_centre)
         if history.attempts == 0 and wait_s > left_s:
             raise refuse(
                 503,
@@ -309,7 +326,7 @@
         self,
         replica: Replica,
         error: Exception,
-        terms: Terms,
+        request_options: RequestOptions,
         checker: StreamChecker,
         history: _AttemptHistory,
     ) -> None:
@@ -322,10 +339,12 @@
         if isinstance(error, NotRunError):
             history.refused.add(replica.name)
         verdict = decide_retry(
-            self._as_attempt(evidence, terms, history, attempts=history.attempts),
+            self._as_attempt(
+                evidence, request_options, history, attempts=history.attempts
+            ),
             self.budget,
         )
-        history.paid = False
+        history.retry_reserved = False
         self.telemetry.retries.add(
             1, {"verdict": verdict.value, "evidence": evidence.value}
         )
@@ -345,19 +364,19 @@
     def _as_attempt(
         self,
         evidence: Evidence,
-        terms: Terms,
+        request_options: RequestOptions,
         history: _AttemptHistory,
         *,
         attempts: int,
     ) -> Attempt:
         return Attempt(
             evidence=evidence,
-            idempotent=terms.idempotent,
-            resumable=terms.idempotent,
+            idempotent=request_options.idempotent,
+            resumable=request_options.idempotent,
             attempts=attempts,
             max_attempts=MAX_ATTEMPTS,
-            left_s=terms.deadline_s - self._clock.monotonic_s(),
-            paid=history.paid,
+            left_s=request_options.deadline_s - self._clock.monotonic_s(),
+            retry_reserved=history.retry_reserved,
         )
 
     def _record_evidence(
--- a/src/rosepath/generation_handlers.py
+++ b/src/rosepath/generation_handlers.py
@@ -7,13 +7,13 @@
 
 from rosepath.backend import Generation
 from rosepath.caller_handler import WRITE_AHEAD_BYTES, CallerPorts, Handler
-from rosepath.claim_outcome import ClaimOutcome, settled
+from rosepath.claim_outcome import ClaimOutcome, settle_claim
 from rosepath.claims import Outcome
 from rosepath.clock import Clock
 from rosepath.declarations import matches
-from rosepath.dispatch import Terms
+from rosepath.dispatch import RequestOptions
 from rosepath.errors import Step, refuse
-from rosepath.openai_api import collect_answer, make_generation, parse_body
+from rosepath.openai_api import collect_response, make_generation, parse_body
 from rosepath.variants import find_route, resolve_target
 
 
@@ -80,23 +80,28 @@
             self.start_span("caller.request", model=body.model, target=target),
             end_on_exit=True,
         ) as span:
-            terms = self.terms(idempotent=route is None or route.idempotent, span=span)
+            request_options = self.request_options(
+                idempotent=route is None or route.idempotent, span=span
+            )
             self.ports.telemetry.requests.add(1, {"target": target})
             claimed = await self.claim(caller, self.request.body)
             if isinstance(claimed, Outcome):
                 await self.replay(claimed)
                 return
-            async with settled(claimed) as outcome:
+            async with settle_claim(claimed) as outcome:
                 async with self.ports.admission.admit(
                     caller=caller, target=body.model, request_id=self.request_id
                 ):
                     if body.stream:
-                        await self._stream(generation, terms, outcome)
+                        await self._stream(generation, request_options, outcome)
                     else:
-                        await self._collect(generation, terms, outcome)
+                        await self._collect(generation, request_options, outcome)
 
     async def _stream(
-        self, generation: Generation, terms: Terms, outcome: ClaimOutcome
+        self,
+        generation: Generation,
+        request_options: RequestOptions,
+        outcome: ClaimOutcome,
     ) -> None:
         self.set_header("Content-Type", "text/event-stream")
         self.set_header("Cache-Control", "no-cache")
@@ -107,11 +112,13 @@
         def on_events(events: bytes) -> Awaitable[None] | None:
             self.event_stream_started = True
             timer.record_event()
-            if outcome.wanted:
+            if outcome.must_record:
                 recorded.append(events)
             return self._send_events(events)
 
-        checker = await self.ports.dispatcher.generate(generation, terms, on_events)
+        checker = await self.ports.dispatcher.generate(
+            generation, request_options, on_events
+        )
         outcome.set(200, {"Content-Type": "text/event-stream"}, b"".join(recorded))
         self._record(timer, generation.target, checker.offset)
         await self.finish()
@@ -131,7 +138,10 @@
         return None
 
     async def _collect(
-        self, generation: Generation, terms: Terms, outcome: ClaimOutcome
+        self,
+        generation: Generation,
+        request_options: RequestOptions,
+        outcome: ClaimOutcome,
     ) -> None:
         events: list[bytes] = []
         timer = _TokenTimer(self.ports.clock)
@@ -140,9 +150,11 @@
             timer.record_event()
             events.append(data)
 
-        checker = await self.ports.dispatcher.generate(generation, terms, on_events)
+        checker = await self.ports.dispatcher.generate(
+            generation, request_options, on_events
+        )
         self._record(timer, generation.target, checker.offset)
-        body = collect_answer(b"".join(events), generation)
+        body = collect_response(b"".join(events), generation)
         outcome.set(200, {"Content-Type": "application/json"}, body)
         self.set_header("Content-Type", "application/json")
         self.set_header("Rosepath-Request-Id", self.request_id)
--- a/src/rosepath/node.py
+++ b/src/rosepath/node.py
@@ -15,10 +15,10 @@
 from rosepath.caller_server import make_application
 from rosepath.clock import SystemClock
 from rosepath.configuration import Configuration, ConfigurationState
-from rosepath.configuration_feed import ConfigurationFeed
+from rosepath.configuration_exchange import ConfigurationExchange
 from rosepath.configuration_follower import ConfigurationFollower
 from rosepath.configuration_store import Accepted, ConfigurationStore
-from rosepath.deferred_execution import DeferredExecution, has_room
+from rosepath.deferred_execution import DeferredExecution, has_spare_slots
 from rosepath.deferred_runner import DeferredRunner, RunnerPorts
 from rosepath.dispatch import Dispatcher
 from rosepath.engine_keeper import PlacerPorts
@@ -84,7 +84,9 @@
         settings = self.settings
         address = settings.peers.advertise or settings.peers.listen
         self.channels = PeerChannels(peer_client_context(settings.peers.tls))
-        self.feed = ConfigurationFeed(self.state, self.tables, self.channels)
+        self.configuration_exchange = ConfigurationExchange(
+            self.state, self.tables, self.channels
+        )
         self.lending = SlotLending(
             settings.entry_vm,
             self.tables,
@@ -97,7 +99,7 @@
                 tables=self.tables,
                 configuration=self.state,
                 channels=self.channels,
-                fetch=self.feed.fetch,
+                fetch=self.configuration_exchange.fetch,
                 clock=self.clock,
                 on_row=lambda row: self.watch.on_row(row),
             ),
@@ -174,9 +176,9 @@
                 platform=self.platform,
                 clock=self.clock,
                 execute=execution.execute,
-                mine=self._runs_deferred,
+                is_assigned=self._runs_deferred,
                 is_alive=self._is_alive,
-                has_room=lambda: has_room(self.tables),
+                has_spare_slots=lambda: has_spare_slots(self.tables),
             )
         )
         self.operator_ports = OperatorPorts(
@@ -245,7 +247,9 @@
         host, port = split_address(callers.listen)
         self.http.listen(port, address=host)
         self.peer_tls = grpc_server_context(settings.peers.tls)
-        self.peer_server = Server([PeerService(self.peers, self.feed, self.lending)])
+        self.peer_server = Server(
+            [PeerService(self.peers, self.configuration_exchange, self.lending)]
+        )
         host, port = split_address(settings.peers.listen)
         await self.peer_server.start(host, port, ssl=self.peer_tls)
         self.operator_server = Server([OperatorService(self.operator_ports)])
@@ -333,8 +337,8 @@
         asyncio.ensure_future(self._notify_watchers())
 
     async def _notify_watchers(self) -> None:
-        async with self.operator_ports.changed:
-            self.operator_ports.changed.notify_all()
+        async with self.operator_ports.version_changed:
+            self.operator_ports.version_changed.notify_all()
 
     def _is_relay(self) -> bool:
         data_centre = self.settings.data_centre
--- a/src/rosepath/openai_api.py
+++ b/src/rosepath/openai_api.py
@@ -116,7 +116,7 @@
     )
 
 
-def collect_answer(events: bytes, generation: Generation) -> bytes:
+def collect_response(events: bytes, generation: Generation) -> bytes:
     """Join the events of a complete stream into one response body."""
     texts: list[str] = []
     finish_reason = None
--- a/src/rosepath/operators.py
+++ b/src/rosepath/operators.py
@@ -46,7 +46,7 @@
     platform_reachable: Callable[[], bool]
     predict_moves: Callable[[Accepted], list[str]]
     share_units: Callable[[], int]
-    changed: asyncio.Condition = field(default_factory=asyncio.Condition)
+    version_changed: asyncio.Condition = field(default_factory=asyncio.Condition)
 
 
 class OperatorService(OperatorsBase):
@@ -171,9 +171,9 @@
             return
         seen = request.after_version
         while True:
-            async with self._ports.changed:
+            async with self._ports.version_changed:
                 while self._ports.state.head.version <= seen:
-                    await self._ports.changed.wait()
+                    await self._ports.version_changed.wait()
             seen = self._ports.state.head.version
             await stream.send_message(pb.RevisionEvent(version=seen))
 
--- a/src/rosepath/peer_service.py
+++ b/src/rosepath/peer_service.py
@@ -4,7 +4,7 @@
 from grpclib.const import Status
 from grpclib.server import Stream
 
-from rosepath.configuration_feed import ConfigurationFeed
+from rosepath.configuration_exchange import ConfigurationExchange
 from rosepath.peers import PeerNetwork
 from rosepath.proto.rosepath_grpc import PeersBase
 from rosepath.proto.rosepath_pb2 import (
@@ -23,10 +23,13 @@
     """Serve gossip, configuration fetches and slot lending to peers."""
 
     def __init__(
-        self, network: PeerNetwork, feed: ConfigurationFeed, lending: SlotLending
+        self,
+        network: PeerNetwork,
+        configuration_exchange: ConfigurationExchange,
+        lending: SlotLending,
     ) -> None:
         self._network = network
-        self._feed = feed
+        self._configuration_exchange = configuration_exchange
         self._lending = lending
 
     async def Exchange(  # noqa: N802
@@ -46,7 +49,7 @@
     ) -> None:
         request = await stream.recv_message()
         if request is not None:
-            await stream.send_message(self._feed.bundle_for(request))
+            await stream.send_message(self._configuration_exchange.bundle_for(request))
 
     async def Borrow(  # noqa: N802
         self, stream: "Stream[BorrowRequest, BorrowReply]"
--- a/src/rosepath/placement.py
+++ b/src/rosepath/placement.py
@@ -35,7 +35,9 @@
     moves += _undeclared_unloads(view)
     moves += _unloads_for_floor(view, anchors, moves)
     moves += _drain_unloads(view, anchors)
-    if policy.extras_allowed and not any(m.reason is MoveReason.FLOOR for m in moves):
+    if policy.demand_copies_allowed and not any(
+        m.reason is MoveReason.FLOOR for m in moves
+    ):
         moves += demand_moves(view, anchors, policy, available_bytes)
     return Plan(anchors, tuple(moves))
 
@@ -110,7 +112,7 @@
         (base, name)
         for base, name in anchors.items()
         if view.anchors.get(base) == name
-        and base not in view.engines[name].ready | view.engines[name].coming
+        and base not in view.engines[name].ready | view.engines[name].pending
     ]
 
     def priority(item: tuple[str, str]) -> tuple[bool, float, str]:
@@ -135,7 +137,7 @@
             missing += [
                 (extra, engine.name, target, size)
                 for target, size in view.adapters[base].items()
-                if target not in engine.ready | engine.coming
+                if target not in engine.ready | engine.pending
             ]
     for extra, name, target, size in sorted(missing):
         if extra and available_bytes[name] < size:
--- a/src/rosepath/placement_demand.py
+++ b/src/rosepath/placement_demand.py
@@ -16,7 +16,7 @@
 MAX_CANDIDATE_ENGINES = 16
 
 
-def crowding(view: PlacementView) -> dict[str, float]:
+def load_per_slot(view: PlacementView) -> dict[str, float]:
     """Return each engine's load per slot.
 
     The demand for a base is divided over its copies in proportion to slots.
@@ -39,7 +39,7 @@
     available_bytes: dict[str, int],
 ) -> Iterable[Move]:
     """Add one copy of the base with the largest positive gain, if any."""
-    load = crowding(view)
+    load = load_per_slot(view)
     candidates = _least_loaded_engines(view, policy, load)
     best: tuple[float, str, EngineView] | None = None
     for base in _overloaded_bases(view, policy, load):
@@ -69,7 +69,7 @@
         engines = view.engines_by_target.get(base, ())
         if base not in view.artifacts or demand <= 0 or not engines:
             continue
-        if any(base in engine.coming for engine in engines):
+        if any(base in engine.pending for engine in engines):
             continue
         if min(load[engine.name] for engine in engines) >= policy.overload_threshold:
             yield base
@@ -123,7 +123,7 @@
     It is the load that moves off overloaded engines over the horizon, less
     the cost of the load and of the unloads it needs.
     """
-    if base in engine.ready | engine.coming or not pin_allows(view, base, engine):
+    if base in engine.ready | engine.pending or not pin_allows(view, base, engine):
         return 0.0
     missing_bytes = view.bytes_with_adapters(base) - engine.free_bytes
     evicted = 0
--- a/src/rosepath/placement_types.py
+++ b/src/rosepath/placement_types.py
@@ -21,7 +21,7 @@
     horizon_s: float = 300.0
     overload_threshold: float = 0.85
     spare_threshold: float = 0.6
-    extras_allowed: bool = True
+    demand_copies_allowed: bool = True
 
 
 @dataclass(slots=True, kw_only=True)
@@ -40,12 +40,12 @@
     usable: bool = True
     draining: bool = False
     ready: frozenset[str] = frozenset()
-    coming: frozenset[str] = frozenset()
+    pending: frozenset[str] = frozenset()
     unloading_targets: frozenset[str] = frozenset()
 
     @property
     def targets(self) -> frozenset[str]:
-        return (self.ready | self.coming) - self.unloading_targets
+        return (self.ready | self.pending) - self.unloading_targets
 
     @property
     def accepts_loads(self) -> bool:
--- a/src/rosepath/placement_view.py
+++ b/src/rosepath/placement_view.py
@@ -76,7 +76,7 @@
         slots=report.slots,
         draining=replica.leaving or report.engine.leaving,
         ready=ready,
-        coming=frozenset(row.ledger.reservations) - ready - unloading,
+        pending=frozenset(row.ledger.reservations) - ready - unloading,
         unloading_targets=frozenset(unloading),
     )
 
--- a/src/rosepath/placer.py
+++ b/src/rosepath/placer.py
@@ -90,7 +90,7 @@
         return PlacementPolicy(
             move_cost_s=settings.move_cost_s,
             horizon_s=settings.horizon_s,
-            extras_allowed=not quiet,
+            demand_copies_allowed=not quiet,
         )
 
     async def _read_anchors(self) -> None:
--- a/src/rosepath/retries.py
+++ b/src/rosepath/retries.py
@@ -80,7 +80,7 @@
     attempts: int
     max_attempts: int
     left_s: float
-    paid: bool = False
+    retry_reserved: bool = False
 
 
 def find_obstacle(
@@ -96,7 +96,7 @@
         return Obstacle.NOT_IDEMPOTENT
     if attempt.evidence is Evidence.ANSWER_BEGUN and not attempt.resumable:
         return Obstacle.NOT_RESUMABLE
-    if attempt.evidence is Evidence.NOT_SENT or attempt.paid:
+    if attempt.evidence is Evidence.NOT_SENT or attempt.retry_reserved:
         return None
     return None if reserve_retry() else Obstacle.BUDGET_SPENT
 
--- a/src/rosepath/retry_policy.py
+++ b/src/rosepath/retry_policy.py
@@ -133,7 +133,7 @@
             attempts=context.possibly_run_count,
             max_attempts=context.route.max_attempts,
             left_s=context.deadline_s - self._now_s(),
-            paid=context.retry_reserved,
+            retry_reserved=context.retry_reserved,
         )
 
     def obstacle(self, context: RequestContext, error: AttemptError) -> Obstacle | None:
--- a/src/rosepath/service_handler.py
+++ b/src/rosepath/service_handler.py
@@ -9,10 +9,10 @@
 from tornado.web import stream_request_body
 
 from rosepath.caller_handler import CallerPorts, Handler
-from rosepath.claim_outcome import ClaimOutcome, settled
+from rosepath.claim_outcome import ClaimOutcome, settle_claim
 from rosepath.claims import Outcome
 from rosepath.declarations import Service
-from rosepath.dispatch import Terms
+from rosepath.dispatch import RequestOptions
 from rosepath.errors import Step, refuse
 from rosepath.http_client import ResponseHead
 from rosepath.services import HOP_HEADERS, ServiceCall
@@ -87,7 +87,7 @@
         with trace.use_span(
             self.start_span("caller.call", service=name), end_on_exit=True
         ) as span:
-            terms = self.terms(
+            request_options = self.request_options(
                 idempotent=method in service.idempotent_methods, span=span
             )
             self.ports.telemetry.requests.add(1, {"target": name})
@@ -103,18 +103,18 @@
                 body=body,
                 body_chunks=self._body_chunks() if self.streaming else None,
             )
-            async with settled(claimed) as outcome:
+            async with settle_claim(claimed) as outcome:
                 async with self.ports.admission.admit(
                     caller=caller, target=name, request_id=self.request_id
                 ):
-                    await self._relay(call, terms, outcome)
+                    await self._relay(call, request_options, outcome)
 
     def _service_path(self, name: str) -> str:
         path = (self.request.uri or "/")[len(f"/services/{name}") :]
         return path if path.startswith("/") else "/" + path
 
     async def _relay(
-        self, call: ServiceCall, terms: Terms, outcome: ClaimOutcome
+        self, call: ServiceCall, request_options: RequestOptions, outcome: ClaimOutcome
     ) -> None:
         recorded: list[bytes] = []
 
@@ -125,11 +125,11 @@
             self.set_header("Rosepath-Request-Id", self.request_id)
 
         def on_data(data: bytes) -> Awaitable[None] | None:
-            if outcome.wanted:
+            if outcome.must_record:
                 recorded.append(data)
             return self.write_with_backpressure(data)
 
-        await self.ports.relay.call(call, terms, on_head, on_data)
+        await self.ports.relay.call(call, request_options, on_head, on_data)
         headers = {
             name: value
             for name, value in self._headers.get_all()
--- a/src/rosepath/services.py
+++ b/src/rosepath/services.py
@@ -7,7 +7,7 @@
 from opentelemetry import trace
 
 from rosepath.deadlines import exchange_timeout
-from rosepath.dispatch import Dispatcher, Terms
+from rosepath.dispatch import Dispatcher, RequestOptions
 from rosepath.errors import ExchangeError, RefusalError, Run, Step, refuse
 from rosepath.http_client import HttpPool, Request, ResponseHead
 from rosepath.retries import (
@@ -116,7 +116,7 @@
     tried: set[str] = field(default_factory=set)
     refused: set[str] = field(default_factory=set)
     evidence_seen: list[Evidence] = field(default_factory=list)
-    paid: bool = False
+    retry_reserved: bool = False
 
 
 async def _await_optional(awaitable: Awaitable[None] | None) -> None:
@@ -135,16 +135,20 @@
         self._pool = pool
 
     async def call(
-        self, call: ServiceCall, terms: Terms, on_head: OnHead, on_data: OnData
+        self,
+        call: ServiceCall,
+        request_options: RequestOptions,
+        on_head: OnHead,
+        on_data: OnData,
     ) -> None:
         """Relay a call, with retries; raise RefusalError if it fails."""
         history = _AttemptHistory()
         self._dispatcher.budget.earn()
         while True:
-            replica = await self._choose(call.service, terms, history)
+            replica = await self._choose(call.service, request_options, history)
             response = _BufferedResponse(on_head, on_data)
             evidence, error = await self._attempt(
-                replica, call, terms, response, history
+                replica, call, request_options, response, history
             )
             if evidence is None:
                 await response.send_buffered()
@@ -153,14 +157,14 @@
             history.tried.add(replica.name)
             if evidence is Evidence.REFUSED:
                 history.refused.add(replica.name)
-            self._check_retry(replica, call, terms, history, error)
+            self._check_retry(replica, call, request_options, history, error)
 
     async def _choose(
-        self, service: str, terms: Terms, history: _AttemptHistory
+        self, service: str, request_options: RequestOptions, history: _AttemptHistory
     ) -> Replica:
         request = RoutingRequest(
             target=service,
-            data_centre=terms.data_centre,
+            data_centre=request_options.data_centre,
             tried=frozenset(history.tried),
         )
         replica = await self._dispatcher.choose_with_fallback(
@@ -202,7 +206,7 @@
         self,
         replica: Replica,
         call: ServiceCall,
-        terms: Terms,
+        request_options: RequestOptions,
         response: _BufferedResponse,
         history: _AttemptHistory,
     ) -> tuple[Evidence | None, str]:
@@ -213,11 +217,11 @@
         settings = self._dispatcher.settings
 
         def may_break_off() -> bool:
-            history.paid = self._dispatcher.may_abort_attempt(
+            history.retry_reserved = self._dispatcher.may_abort_attempt(
                 _as_attempt(
                     response.evidence_after_send,
                     call,
-                    terms,
+                    request_options,
                     history,
                     attempts=len(history.evidence_seen) + 1,
                 ),
@@ -225,9 +229,9 @@
                 call.service,
                 excluded={replica.name, *history.refused},
             )
-            return history.paid
+            return history.retry_reserved
 
-        context = trace.set_span_in_context(terms.span)
+        context = trace.set_span_in_context(request_options.span)
         with self._dispatcher.telemetry.tracer.start_as_current_span(
             "backend.call", context=context, attributes={"peer": replica.name}
         ) as span:
@@ -241,13 +245,15 @@
                 connect_timeout_s=settings.connect_timeout_s,
                 progress_timeout_s=settings.progress_timeout_s,
                 proven_live_within_s=None
-                if terms.idempotent
+                if request_options.idempotent
                 else settings.proven_live_within_s,
                 may_break_off=may_break_off,
             )
             replica.own_starts[key] = started_s
             try:
-                async with exchange_timeout(terms.deadline_s - started_s, replica.name):
+                async with exchange_timeout(
+                    request_options.deadline_s - started_s, replica.name
+                ):
                     head = await self._pool.exchange(
                         request,
                         on_head=response.on_response_head,
@@ -270,15 +276,19 @@
         self,
         replica: Replica,
         call: ServiceCall,
-        terms: Terms,
+        request_options: RequestOptions,
         history: _AttemptHistory,
         error: str,
     ) -> None:
         evidence_seen = history.evidence_seen
         attempt = _as_attempt(
-            evidence_seen[-1], call, terms, history, attempts=len(evidence_seen)
+            evidence_seen[-1],
+            call,
+            request_options,
+            history,
+            attempts=len(evidence_seen),
         )
-        history.paid = False
+        history.retry_reserved = False
         if decide_retry(attempt, self._dispatcher.budget) is Verdict.GIVE_UP:
             raise _attempts_failed(evidence_seen, replica.name, error)
 
@@ -286,7 +296,7 @@
 def _as_attempt(
     evidence: Evidence,
     call: ServiceCall,
-    terms: Terms,
+    request_options: RequestOptions,
     history: _AttemptHistory,
     *,
     attempts: int,
@@ -295,12 +305,12 @@
     body_consumed = call.body_chunks is not None and evidence is not Evidence.NOT_SENT
     return Attempt(
         evidence=evidence,
-        idempotent=terms.idempotent and not body_consumed,
+        idempotent=request_options.idempotent and not body_consumed,
         resumable=False,
         attempts=MAX_ATTEMPTS if body_consumed else attempts,
         max_attempts=MAX_ATTEMPTS,
-        left_s=terms.deadline_s - asyncio.get_running_loop().time(),
-        paid=history.paid,
+        left_s=request_options.deadline_s - asyncio.get_running_loop().time(),
+        retry_reserved=history.retry_reserved,
     )
 
 
--- a/src/rosepath/tables.py
+++ b/src/rosepath/tables.py
@@ -50,7 +50,7 @@
     resident: frozenset[str] = frozenset()
     running_by_target: dict[str, int] = field(default_factory=dict)
     reported_at_s: float | None = None
-    others_load: float = 0.0
+    other_vms_load: float = 0.0
     known_since_s: float = 0.0
     reachable: bool = True
     leaving: bool = False
@@ -73,7 +73,7 @@
         the same report don't all turn to the same replica; the reported part
         is old by the time it is read, and only its average means something.
         """
-        return self.own_in_flight + self.others_load
+        return self.own_in_flight + self.other_vms_load
 
     def note_report(self, *, running: int, queued: int, at_s: float) -> None:
         """Take a report that was true at a local time."""
@@ -82,7 +82,7 @@
         weight = min(weight, OTHERS_MAX_WEIGHT)
         self.running, self.queued, self.reported_at_s = running, queued, at_s
         others = max(0, running + queued - self.own_in_flight)
-        self.others_load += weight * (others - self.others_load)
+        self.other_vms_load += weight * (others - self.other_vms_load)
 
 
 class MoveAction(StrEnum):
@@ -129,6 +129,6 @@
 
     entry_vms: dict[str, EntryVm] = field(default_factory=dict)
     replicas: dict[str, Replica] = field(default_factory=dict)
-    vm_leaving: set[str] = field(default_factory=set)
+    leaving_vms: set[str] = field(default_factory=set)
     moves: deque[MoveRecord] = field(default_factory=lambda: deque(maxlen=MOVES_KEPT))
     demand: dict[str, float] = field(default_factory=dict)
--- a/tests/builders.py
+++ b/tests/builders.py
@@ -37,7 +37,7 @@
         "slots": 4,
         "resident": frozenset({"m"}),
         "reported_at_s": 0.0,
-        "others_load": float(fields.get("running", 0)),
+        "other_vms_load": float(fields.get("running", 0)),
     }
     return Replica(name=name, **{**given, **fields})
 
--- a/tests/test_deferred.py
+++ b/tests/test_deferred.py
@@ -94,9 +94,9 @@
                 platform=self.platform,
                 clock=self.clock,
                 execute=execute,
-                mine=lambda _: True,
+                is_assigned=lambda _: True,
                 is_alive=lambda _: False,
-                has_room=lambda: True,
+                has_spare_slots=lambda: True,
             )
         )
 
@@ -181,9 +181,9 @@
                 platform=self.platform,
                 clock=self.clock,
                 execute=self.execute,
-                mine=lambda _: True,
+                is_assigned=lambda _: True,
                 is_alive=lambda _: True,
-                has_room=lambda: True,
+                has_spare_slots=lambda: True,
             )
         )
         for request in requests:
--- a/tests/test_placement.py
+++ b/tests/test_placement.py
@@ -52,7 +52,7 @@
 
 
 def test_no_demand_copies_in_a_quiet_window() -> None:
-    assert moves(overloaded_view(), PlacementPolicy(extras_allowed=False)) == []
+    assert moves(overloaded_view(), PlacementPolicy(demand_copies_allowed=False)) == []
 
 
 def test_no_moves_at_low_demand() -> None:
--- a/tests/test_routing.py
+++ b/tests/test_routing.py
@@ -47,7 +47,7 @@
 def test_the_local_data_centre_is_preferred_until_overloaded() -> None:
     local, remote = replica("a"), replica("b", data_centre="casa-b")
     assert choose([local, remote]) == "a"
-    local.others_load = 12.0
+    local.other_vms_load = 12.0
     assert choose([local, remote]) == "b"
 
 
@@ -67,7 +67,7 @@
 def test_affinity_is_bounded_by_load() -> None:
     home, other = replica("a", running=1), replica("b")
     assert choose([home, other], prefix_home="a") == "a"
-    home.others_load = 3.0
+    home.other_vms_load = 3.0
     assert choose([home, other], prefix_home="a") == "b"
 
 
--- a/tests/test_silent_backends.py
+++ b/tests/test_silent_backends.py
@@ -19,7 +19,7 @@
 
 from rosepath.backend import Generation
 from rosepath.backend_http import HttpBackend
-from rosepath.dispatch import Dispatcher, Terms
+from rosepath.dispatch import Dispatcher, RequestOptions
 from rosepath.errors import RefusalError, Run
 from rosepath.services import ServiceCall, ServiceRelay
 from rosepath.settings import RoutingSettings
@@ -83,7 +83,7 @@
         try:
             await self.relay.call(
                 call,
-                terms(idempotent=idempotent, deadline_in_s=deadline_in_s),
+                request_options(idempotent=idempotent, deadline_in_s=deadline_in_s),
                 lambda head: heads.append(head.status),
                 self.received.extend,
             )
@@ -102,13 +102,13 @@
             served_as="m",
         )
         await self.dispatcher.generate(
-            generation, terms(idempotent=idempotent), self.received.extend
+            generation, request_options(idempotent=idempotent), self.received.extend
         )
         return bytes(self.received)
 
 
-def terms(*, idempotent: bool, deadline_in_s: float = 60.0) -> Terms:
-    return Terms(
+def request_options(*, idempotent: bool, deadline_in_s: float = 60.0) -> RequestOptions:
+    return RequestOptions(
         idempotent=idempotent,
         deadline_s=asyncio.get_running_loop().time() + deadline_in_s,
         data_centre="a",
@@ -126,7 +126,7 @@
             service="files",
             slots=8,
             resident=frozenset({"files"}),
-            others_load=float(number),
+            other_vms_load=float(number),
         )
     pool = TimedPool({engine.address: engine for engine in engines})
     dispatcher = Dispatcher(
@@ -146,7 +146,7 @@
 def fill_slots(daemon: DaemonUnderTest, name: str) -> None:
     """Let requests of other entry VMs use all slots of a server."""
     server = daemon.dispatcher.tables.replicas[name]
-    server.others_load = float(server.slots)
+    server.other_vms_load = float(server.slots)
 
 
 def test_a_non_idempotent_call_is_not_aborted() -> None:
@@ -222,7 +222,7 @@
         fill_slots(daemon, "s2")
         calling = asyncio.ensure_future(daemon.call(idempotent=True))
         await asyncio.sleep(15.0)
-        daemon.dispatcher.tables.replicas["s2"].others_load = 0.0
+        daemon.dispatcher.tables.replicas["s2"].other_vms_load = 0.0
         assert await calling == 200
         assert daemon.took_s < 20.5
 
