--- a/benchmarks/__init__.py
+++ b/benchmarks/__init__.py
@@ -1,1 +1,1 @@
-"""Measurements over real processes on loopback, as ratios within one run."""
+"""Benchmarks of real processes on loopback; compare figures of one run only."""
--- a/benchmarks/__main__.py
+++ b/benchmarks/__main__.py
@@ -1,10 +1,10 @@
-"""Run the benchmarks: all, or those named."""
+"""Run the benchmarks named as arguments, by default all but `entry_soak`."""
 
 import importlib
 import sys
 import time
 
-ALL = (
+DEFAULT_BENCHMARKS = (
     "relay",
     "routing",
     "retries",
@@ -16,8 +16,8 @@
 
 
 def main() -> None:
-    """Run each benchmark and say how long it took."""
-    for name in sys.argv[1:] or ALL:
+    """Run each benchmark and print its duration."""
+    for name in sys.argv[1:] or DEFAULT_BENCHMARKS:
         started_s = time.perf_counter()
         importlib.import_module(f"benchmarks.{name}").main()
         print(f"({name}: {time.perf_counter() - started_s:.0f} s)\n", flush=True)
--- a/benchmarks/_private.py
+++ b/benchmarks/_private.py
@@ -15,26 +15,26 @@
 from rosepath_standins.load import LoadResult, LoadShape, decode_result, encode_shape
 
 KEY = "bench-key"
-OUT = Path("out") / "bench"
+OUTPUT_DIR = Path("out") / "bench"
 
 
 @dataclass(frozen=True, slots=True)
 class Usage:
-    """Hold the processor time and memory of a process."""
+    """CPU time and resident memory of a process."""
 
     cpu_s: float
     memory_bytes: int
 
 
-def usage(pid: int) -> Usage:
-    """Read a process's processor time and resident memory."""
+def process_usage(pid: int) -> Usage:
+    """Read the CPU time and resident memory of a process."""
     process = psutil.Process(pid)
     times = process.cpu_times()
     return Usage(times.user + times.system, process.memory_info().rss)
 
 
 def run_cluster(work: Callable[[Cluster], Awaitable[Any]]) -> Any:
-    """Run work over a cluster in a folder of its own, then stop it."""
+    """Run `work` with a cluster in a temporary folder, then stop the cluster."""
 
     async def run(folder: Path) -> Any:
         cluster = Cluster(folder, deployment="bench")
@@ -48,7 +48,7 @@
 
 
 async def run_loads(shape: LoadShape, processes: int) -> LoadResult:
-    """Run a load split over processes and merge what they saw."""
+    """Split a load over several processes and merge their results."""
     share = replace(
         shape,
         streams=max(1, shape.streams // processes),
@@ -64,9 +64,9 @@
 
 
 async def _run_load(shape: LoadShape) -> LoadResult:
-    words = ["load", "--address", "-", "--key", "-", "--model", "-", "--raw"]
+    arguments = ["load", "--address", "-", "--key", "-", "--model", "-", "--raw"]
     process = await asyncio.create_subprocess_exec(
-        *(sys.executable, "-m", "rosepath_standins", *words),
+        *(sys.executable, "-m", "rosepath_standins", *arguments),
         *("--shape", encode_shape(shape)),
         stdout=asyncio.subprocess.PIPE,
     )
@@ -74,13 +74,13 @@
     return decode_result(output.decode())
 
 
-def caller() -> str:
-    """Return the declaration of the benchmarks' caller."""
+def benchmark_caller() -> str:
+    """Return the declaration of the caller that the benchmarks use."""
     return caller_declaration("bench", KEY)
 
 
 async def wait_serving(cluster: Cluster, models: Sequence[str]) -> None:
-    """Wait until every daemon answers for every model."""
+    """Wait until every daemon serves requests for every model."""
     for daemon in cluster.daemons.values():
         for model in models:
             body = {"model": model, "prompt": "ping", "max_tokens": 1}
@@ -98,15 +98,17 @@
             await cluster.until(serves, timeout_s=60)
 
 
-def show(title: str, header: Sequence[str], rows: Sequence[Sequence[object]]) -> None:
-    """Print a table and keep it as Markdown."""
+def write_table(
+    title: str, header: Sequence[str], rows: Sequence[Sequence[object]]
+) -> None:
+    """Print a Markdown table and append it to the report file."""
     text = [f"### {title}", "", "| " + " | ".join(header) + " |"]
     text.append("|" + " --- |" * len(header))
     text += ["| " + " | ".join(_cell(cell) for cell in row) + " |" for row in rows]
     block = "\n".join(text) + "\n"
     print(block, flush=True)
-    OUT.mkdir(parents=True, exist_ok=True)
-    with (OUT / "report.md").open("a", encoding="utf-8") as file:
+    OUTPUT_DIR.mkdir(parents=True, exist_ok=True)
+    with (OUTPUT_DIR / "report.md").open("a", encoding="utf-8") as file:
         file.write(block + "\n")
 
 
--- a/benchmarks/capacity.py
+++ b/benchmarks/capacity.py
@@ -1,4 +1,4 @@
-"""Tables of the target's size inside one process: memory and time a step."""
+"""Measure memory and time per step with tables of the target deployment's size."""
 
 import gc
 import random
@@ -7,8 +7,8 @@
 from collections.abc import Callable
 from dataclasses import replace
 
-from benchmarks._private import show
-from benchmarks.placement import _large_view
+from benchmarks._private import write_table
+from benchmarks.placement import large_view
 from rosepath.backend_http import HttpBackend
 from rosepath.clock import ManualClock
 from rosepath.configuration import (
@@ -36,15 +36,15 @@
 RNG = random.Random(1)
 
 
-def _held_mb() -> float:
+def _allocated_mb() -> float:
     gc.collect()
     return tracemalloc.get_traced_memory()[0] / 1e6
 
 
-def _time_ms(step: Callable[[], object], *, at_least_s: float = 0.3) -> float:
+def _time_ms(step: Callable[[], object], *, min_duration_s: float = 0.3) -> float:
     tracemalloc.stop()
     rounds, started_s = 0, time.perf_counter()
-    while time.perf_counter() - started_s < at_least_s:
+    while time.perf_counter() - started_s < min_duration_s:
         step()
         rounds += 1
     took_ms = 1000 * (time.perf_counter() - started_s) / rounds
@@ -87,38 +87,38 @@
 
 
 def _configuration_rows() -> tuple[list[list[object]], ConfigurationState]:
-    before = _held_mb()
+    before = _allocated_mb()
     operations = _operations()
     current = Configuration().with_operations(operations, version=1)
     head, _ = next_head(Head(), current, _change(operations), ())
     shards = {digest(data): data for data in encode_shards(current).values()}
     state = ConfigurationState()
     state.apply(head, shards)
-    grown = _held_mb() - before
+    allocated_mb = _allocated_mb() - before
     whole_ms = _time_ms(lambda: ConfigurationState().apply(head, shards))
     change = [Operation("limit", "l", Limit(concurrency=5))]
 
     def one_change() -> None:
-        wanted = state.configuration.with_operations(change, version=2)
-        new_head, new = next_head(head, wanted, _change(change), ())
-        other = ConfigurationState()
-        other.head, other.shards = head, state.shards
-        other._decoded = state._decoded
-        other.apply(new_head, new)
+        changed = state.configuration.with_operations(change, version=2)
+        new_head, new = next_head(head, changed, _change(change), ())
+        next_state = ConfigurationState()
+        next_state.head, next_state.shards = head, state.shards
+        next_state._decoded = state._decoded
+        next_state.apply(new_head, new)
 
     return [
-        ["configuration held", "MB", grown],
+        ["configuration held", "MB", allocated_mb],
         ["configuration encoded", "MB", sum(map(len, shards.values())) / 1e6],
         ["largest shard", "KB", max(map(len, shards.values())) / 1e3],
         ["head", "KB", len(str(head.shards)) / 1e3],
-        ["whole configuration into force", "ms", whole_ms],
-        ["one change into force", "ms", _time_ms(one_change)],
+        ["whole configuration applied", "ms", whole_ms],
+        ["one change applied", "ms", _time_ms(one_change)],
         ["one change validated", "ms", _time_ms(lambda: validate(current))],
     ], state
 
 
 def _table_rows(state: ConfigurationState) -> list[list[object]]:
-    before = _held_mb()
+    before = _allocated_mb()
     tables = Tables()
     for number in range(NODES):
         name = f"entry-{number:03d}"
@@ -135,15 +135,15 @@
         targets = [f"m{RNG.randrange(MODELS)}" for _ in range(4)]
         replica.resident = frozenset(targets)
         replica.running_by_target = dict.fromkeys(targets, 4)
-    grown = _held_mb() - before
+    allocated_mb = _allocated_mb() - before
     request = RoutingRequest(target="m1", data_centre="dc-01")
     poller = Poller(
         tables, HttpBackend(HttpPool()), me="entry-001", clock=ManualClock()
     )
     demand: dict[str, float] = {}
-    view = _large_view(MODELS, REPLICAS)
+    view = large_view(MODELS, REPLICAS)
     return [
-        ["tables held", "MB", grown],
+        ["tables held", "MB", allocated_mb],
         [
             "one replica chosen",
             "ms",
@@ -158,12 +158,12 @@
             ),
         ],
         [
-            "own polls found",
+            "due polls selected",
             "ms",
             _time_ms(lambda: poller.due("dc-01")),
         ],
         [
-            "demand followed once",
+            "demand smoothed once",
             "ms",
             _time_ms(
                 lambda: smooth_demand(demand, tables.replicas.values(), weight=0.1)
@@ -178,7 +178,7 @@
 
 
 def _gossip_rows() -> list[list[object]]:
-    before = _held_mb()
+    before = _allocated_mb()
     state = GossipState()
     member = EntryVm(
         name="x",
@@ -195,7 +195,7 @@
     for number in range(REPLICAS):
         key = RowKey(RowKind.LOAD, f"engine-{number}")
         state.merge(Row(key, 1, payload))
-    grown = _held_mb() - before
+    allocated_mb = _allocated_mb() - before
     round_number = 1
 
     def one_second() -> None:
@@ -209,7 +209,7 @@
             state.acknowledge(name, batch.sequence)
 
     return [
-        ["gossip held", "MB", grown],
+        ["gossip held", "MB", allocated_mb],
         [
             "a second's load rows of a data centre",
             "ms",
@@ -219,12 +219,12 @@
 
 
 def main() -> None:
-    """Fill one process with the target's tables and time each step."""
+    """Fill one process with tables of the target size and time each step."""
     tracemalloc.start()
     rows, state = _configuration_rows()
     rows += _table_rows(state)
     rows += _gossip_rows()
-    show(
+    write_table(
         f"Tables of full size: {NODES} nodes, {REPLICAS} replicas, {MODELS} models, "
         f"{ADAPTERS} adapters, {CALLERS} callers",
         ("what", "unit", "value"),
--- a/benchmarks/control.py
+++ b/benchmarks/control.py
@@ -1,4 +1,4 @@
-"""What control costs a node, against nodes, replicas and models."""
+"""Measure the control plane's cost per node by nodes, replicas and models."""
 
 import asyncio
 import json
@@ -9,7 +9,12 @@
 
 import psutil
 
-from benchmarks._private import caller, run_cluster, show, usage
+from benchmarks._private import (
+    benchmark_caller,
+    process_usage,
+    run_cluster,
+    write_table,
+)
 from rosepath_standins.cluster import Cluster
 
 DATA_CENTRES = ("dc-a", "dc-b", "dc-c", "dc-d")
@@ -21,7 +26,11 @@
 
 
 class Cost(NamedTuple):
-    """Hold the cost of control of one quiet fleet, a node where not said."""
+    """Control plane cost of one idle fleet.
+
+    CPU, wire and memory figures are per node; store calls are of the whole
+    fleet.
+    """
 
     nodes: int
     replicas: int
@@ -41,12 +50,12 @@
         cluster.start_engines(min(24, replicas - start), memory_bytes=1_000_000)
     await cluster.wait_listening()
     for number in range(nodes):
-        home = DATA_CENTRES[number % len(DATA_CENTRES)]
-        cluster.start_daemon(f"entry-{number:03d}", home)
+        data_centre = DATA_CENTRES[number % len(DATA_CENTRES)]
+        cluster.start_daemon(f"entry-{number:03d}", data_centre)
         if number % 8 == 7:
             await cluster.wait_live()
     await cluster.wait_live()
-    homes = {
+    data_centres = {
         name: DATA_CENTRES[n % len(DATA_CENTRES)]
         for n, name in enumerate(cluster.engines)
     }
@@ -54,7 +63,9 @@
         f"[model.m{n}]\nmemory_bytes = 1000\n" for n in range(models)
     )
     cluster.declare(
-        declarations + caller() + cluster.engine_declarations(homes, 1_000_000)
+        declarations
+        + benchmark_caller()
+        + cluster.engine_declarations(data_centres, 1_000_000)
     )
     await cluster.wait_ready()
 
@@ -69,17 +80,17 @@
     await _start(cluster, nodes, replicas, models)
     await asyncio.sleep(8.0)
     pids = [daemon.process.pid for daemon in cluster.daemons.values()]
-    cpu = sum(usage(pid).cpu_s for pid in pids)
+    cpu = sum(process_usage(pid).cpu_s for pid in pids)
     wire = psutil.net_io_counters(pernic=True)["lo"].bytes_sent
     calls = await _store_calls(cluster)
     started_s = time.perf_counter()
     await asyncio.sleep(MEASURED_S)
     elapsed_s = time.perf_counter() - started_s
-    cpu = sum(usage(pid).cpu_s for pid in pids) - cpu
+    cpu = sum(process_usage(pid).cpu_s for pid in pids) - cpu
     wire = psutil.net_io_counters(pernic=True)["lo"].bytes_sent - wire
     idle_calls = (await _store_calls(cluster) - calls) / elapsed_s
-    memory = sum(usage(pid).memory_bytes for pid in pids) / nodes
-    spreads, per_change = await _changes(cluster, idle_calls)
+    memory = sum(process_usage(pid).memory_bytes for pid in pids) / nodes
+    propagation_s, per_change = await _measure_changes(cluster, idle_calls)
     return Cost(
         nodes,
         replicas,
@@ -88,14 +99,19 @@
         wire / elapsed_s / nodes / 1e3,
         memory / 1e6,
         idle_calls,
-        sorted(spreads)[len(spreads) // 2],
-        max(spreads),
+        sorted(propagation_s)[len(propagation_s) // 2],
+        max(propagation_s),
         per_change,
     )
 
 
-async def _changes(cluster: Cluster, idle_calls: float) -> tuple[list[float], float]:
-    """Make changes one after another; return each one's time to be everywhere."""
+async def _measure_changes(
+    cluster: Cluster, idle_calls: float
+) -> tuple[list[float], float]:
+    """Apply changes one after another.
+
+    Return the time each takes to reach every node, and store calls per change.
+    """
     calls = await _store_calls(cluster)
     started_s = time.perf_counter()
     accepted: dict[int, float] = {}
@@ -105,13 +121,13 @@
             cluster.cli, "declare", "limit", "l", declaration, "--output", "json"
         )
         accepted[int(json.loads(done.stdout)["version"])] = time.time()
-    await cluster.until(lambda: _all_have(cluster, max(accepted)), timeout_s=60)
+    await cluster.until(lambda: _all_applied(cluster, max(accepted)), timeout_s=60)
     elapsed_s = time.perf_counter() - started_s
     spent = await _store_calls(cluster) - calls - idle_calls * elapsed_s
-    return _spreads(cluster, list(accepted)), max(0.0, spent) / CHANGES
+    return _propagation_times_s(cluster, list(accepted)), max(0.0, spent) / CHANGES
 
 
-def _log_times(cluster: Cluster, name: str) -> dict[int, float]:
+def _applied_times(cluster: Cluster, name: str) -> dict[int, float]:
     times: dict[int, float] = {}
     for line in (cluster.folder / f"{name}.log").read_text().splitlines():
         if '"configuration_in_force"' in line:
@@ -121,24 +137,24 @@
     return times
 
 
-def _all_have(cluster: Cluster, version: int) -> bool:
+def _all_applied(cluster: Cluster, version: int) -> bool:
     return all(
-        max(_log_times(cluster, n), default=0) >= version for n in cluster.daemons
+        max(_applied_times(cluster, n), default=0) >= version for n in cluster.daemons
     )
 
 
-def _spreads(cluster: Cluster, versions: list[int]) -> list[float]:
-    """Return, a version, the time from its first node to its last.
+def _propagation_times_s(cluster: Cluster, versions: list[int]) -> list[float]:
+    """Return for each version the time from the first node applying it to the last.
 
-    The node that accepts a change puts it in force at once, so the first is
-    the acceptance. A node may skip a version for a newer one.
+    The node that accepts a change applies it at once, so the first time is the
+    acceptance. A node may skip a version and apply a newer one.
     """
-    logs = [_log_times(cluster, name) for name in cluster.daemons]
-    spreads = []
+    logs = [_applied_times(cluster, name) for name in cluster.daemons]
+    propagation_s = []
     for version in versions:
         reached = [min(at for v, at in log.items() if v >= version) for log in logs]
-        spreads.append(max(reached) - min(reached))
-    return spreads
+        propagation_s.append(max(reached) - min(reached))
+    return propagation_s
 
 
 def _slope(costs: list[Cost], x: str, y: str) -> float:
@@ -146,8 +162,8 @@
     xs = [float(getattr(cost, x)) for cost in costs]
     ys = [float(getattr(cost, y)) for cost in costs]
     mean_x, mean_y = sum(xs) / len(xs), sum(ys) / len(ys)
-    over = sum((a - mean_x) * (b - mean_y) for a, b in zip(xs, ys, strict=True))
-    return over / sum((a - mean_x) ** 2 for a in xs)
+    covariance = sum((a - mean_x) * (b - mean_y) for a, b in zip(xs, ys, strict=True))
+    return covariance / sum((a - mean_x) ** 2 for a in xs)
 
 
 def _run(nodes: int, replicas: int, models: int) -> Cost:
@@ -157,12 +173,14 @@
 
 
 def main() -> None:
-    """Measure quiet fleets and print costs and slopes."""
+    """Measure idle fleets and print costs and slopes."""
     header = tuple(re.sub("_", " ", name) for name in Cost._fields)
     by_nodes = [_run(nodes, 8, 20) for nodes in FLEETS]
     by_replicas = [by_nodes[0], *(_run(8, count, 20) for count in REPLICAS[1:])]
     by_models = [by_nodes[0], *(_run(8, 8, count) for count in MODELS[1:])]
-    show("Control: quiet fleets", header, [*by_nodes, *by_replicas[1:], *by_models[1:]])
+    write_table(
+        "Control: quiet fleets", header, [*by_nodes, *by_replicas[1:], *by_models[1:]]
+    )
     rows = []
     for name, costs in (
         ("nodes", by_nodes),
@@ -178,7 +196,7 @@
                 _slope(costs, name, "store_calls_per_s"),
             ]
         )
-    show(
+    write_table(
         "Control: slopes, what one more costs each node (store calls: the fleet)",
         ("one more", "CPU %", "wire B/s", "memory KB", "store calls/s"),
         rows,
--- a/benchmarks/demand.py
+++ b/benchmarks/demand.py
@@ -1,4 +1,4 @@
-"""Seeded days of demand: bursts that move tenfold within an hour, quiet nights."""
+"""Seeded daily demand: tenfold bursts within an hour, low demand at night."""
 
 import math
 import random
@@ -8,8 +8,8 @@
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
-class Shape:
-    """Describe a deployment as far as placement depends on it."""
+class DeploymentShape:
+    """Describe the properties of a deployment that placement depends on."""
 
     name: str
     models: int
@@ -27,7 +27,7 @@
     quiet_hours: tuple[int, int] | None
 
 
-MAHKAMA = Shape(
+MAHKAMA = DeploymentShape(
     name="Mahkama",
     models=13,
     adapters=60,
@@ -43,7 +43,7 @@
     night_share=0.15,
     quiet_hours=None,
 )
-ZAGORKA = Shape(
+ZAGORKA = DeploymentShape(
     name="Zagorka",
     models=20,
     adapters=70,
@@ -63,24 +63,24 @@
 
 @dataclass(frozen=True, slots=True)
 class Burst:
-    """Raise one model's demand for a while."""
+    """Raise one model's demand by a factor for a limited time."""
 
     start_s: float
     length_s: float
     factor: float
 
-    def at(self, now_s: float) -> float:
-        """Return the factor now: up within minutes, back down the same way."""
-        place = (now_s - self.start_s) / self.length_s
-        if not 0 <= place <= 1:
+    def factor_at(self, now_s: float) -> float:
+        """Return the factor, which ramps over the first and last sixth of the burst."""
+        progress = (now_s - self.start_s) / self.length_s
+        if not 0 <= progress <= 1:
             return 1.0
-        return 1.0 + (self.factor - 1.0) * min(1.0, 6 * place, 6 * (1 - place))
+        return 1.0 + (self.factor - 1.0) * min(1.0, 6 * progress, 6 * (1 - progress))
 
 
 class Day:
-    """Hold one seeded day of arrivals, by model and time."""
+    """Arrival rates of every model over one seeded day."""
 
-    def __init__(self, shape: Shape, seed: int) -> None:
+    def __init__(self, shape: DeploymentShape, seed: int) -> None:
         rng = random.Random(seed)
         self.shape = shape
         self.models = [f"m{n:02d}" for n in range(shape.models)]
@@ -101,11 +101,11 @@
         }
 
     def rate_per_s(self, model: str, now_s: float) -> float:
-        """Return a model's arrivals a second at a time of the day."""
+        """Return a model's arrivals per second at a time of the day."""
         hour = now_s / 3600 % 24
         start, end = self.shape.day_hours
         middle, half = (start + end) / 2, (end - start) / 2
         bell = math.exp(-(((hour - middle) / half) ** 4))
         night = self.shape.night_share
-        factor = max(burst.at(now_s) for burst in self._bursts[model])
+        factor = max(burst.factor_at(now_s) for burst in self._bursts[model])
         return self._base[model] * (night + (1 - night) * bell) * factor
--- a/benchmarks/entry_soak.py
+++ b/benchmarks/entry_soak.py
@@ -2,8 +2,9 @@
 
     SOAK_SEED=3 SOAK_S=60 python -m benchmarks entry_soak
 
-What the callers got and what reached the servers is checked at the end, rule by rule;
-a failure is printed with its seed, and the VMs' logs are kept.
+At the end, what the callers received and what reached the servers is checked
+against each rule. Violations are printed with the seed, and the VMs' logs are
+kept.
 """
 
 import asyncio
@@ -18,7 +19,7 @@
 from dataclasses import dataclass, field
 from pathlib import Path
 
-from benchmarks.entry_checks import WAIT_S, Answered, EntryChecks
+from benchmarks.entry_checks import REQUEST_DEADLINE_S, CallerResponse, EntryChecks
 from rosepath.errors import ExchangeError
 from rosepath.http_client import HttpPool, Request
 from rosepath_standins.entry_fleet import (
@@ -34,16 +35,16 @@
 VMS = 4
 SERVERS = 6
 CALLERS = 12
-CALL_EACH_S = 0.02
-FAULT_EACH_S = (0.4, 1.6)
-# A request that crashes servers comes again more often than other faults do.
+CALL_INTERVAL_S = 0.02
+FAULT_INTERVAL_S = (0.4, 1.6)
+# Requests that crash servers are drawn more often than the other faults.
 CRASHING_WEIGHT = 3
-KINDS = ("look", "file", "draft")
+REQUEST_KINDS = ("look", "file", "draft")
 CHANGES_WEIGHT = 2
-# The latest of the routes that were added, those dropped since among them.
-PROBED = 6
-PROBE_EACH_S = 0.1
-SLOW_ANSWER_S = 0.7
+# Probes cover this many of the routes added last, including those dropped since.
+PROBED_ROUTES = 6
+PROBE_INTERVAL_S = 0.1
+SLOW_RESPONSE_S = 0.7
 STALL_S = 0.5
 LOW_RATE_BYTES_PER_S = (10_000.0, 100_000.0)
 
@@ -52,44 +53,44 @@
 
 @dataclass(slots=True)
 class EntrySoak:
-    """Hold one run."""
+    """One soak run: its fleet, its callers and the faults injected."""
 
     fleet: EntryFleet
-    # Draws the faults; callers and the store draw from their own, so that faults come
-    # as before.
+    # Faults, callers and store faults draw from separate generators, so that the
+    # fault sequence of a seed does not depend on the others.
     rng: random.Random
     call_rng: random.Random
     store_rng: random.Random
-    until_s: float
-    answered: list[Answered] = field(default_factory=list)
+    ends_s: float
+    answered: list[CallerResponse] = field(default_factory=list)
     faults: Counter[str] = field(default_factory=Counter)
-    number: int = 0
+    request_count: int = 0
 
     async def run(self) -> None:
-        tasks = [self._call() for _ in range(CALLERS)]
-        tasks += [self._probe(vm) for vm in self.fleet.vms.values()]
-        tasks.append(self._strike(self.rng, self._kinds()))
-        tasks.append(self._strike(self.store_rng, self._store_kinds()))
-        await asyncio.gather(*tasks, self._note_stalls())
-
-    async def _note_stalls(self) -> None:
-        """Note when this process stood still, and the store with it."""
-        while time.monotonic() < self.until_s:
+        tasks = [self._run_caller() for _ in range(CALLERS)]
+        tasks += [self._probe_routes(vm) for vm in self.fleet.vms.values()]
+        tasks.append(self._inject_faults(self.rng, self._fault_choices()))
+        tasks.append(self._inject_faults(self.store_rng, self._store_fault_choices()))
+        await asyncio.gather(*tasks, self._record_stalls())
+
+    async def _record_stalls(self) -> None:
+        """Record when this process stalled, and with it the store."""
+        while time.monotonic() < self.ends_s:
             from_s = time.monotonic()
             await asyncio.sleep(0.1)
             if time.monotonic() - from_s > STALL_S:
                 self.fleet.stalls_s.append((from_s, time.monotonic()))
 
-    async def _strike(self, rng: random.Random, kinds: list[Fault]) -> None:
+    async def _inject_faults(self, rng: random.Random, choices: list[Fault]) -> None:
         running: list[asyncio.Task[None]] = []
-        while time.monotonic() < self.until_s:
-            await asyncio.sleep(rng.uniform(*FAULT_EACH_S))
-            fault = rng.choice(kinds)
+        while time.monotonic() < self.ends_s:
+            await asyncio.sleep(rng.uniform(*FAULT_INTERVAL_S))
+            fault = rng.choice(choices)
             self.faults[fault.__name__] += 1
             running.append(asyncio.create_task(fault()))
         await asyncio.gather(*running)
 
-    def _kinds(self) -> list[Fault]:
+    def _fault_choices(self) -> list[Fault]:
         return [
             self.kill_vm,
             self.stop_vm,
@@ -104,41 +105,43 @@
             *[self.send_crashing] * CRASHING_WEIGHT,
         ]
 
-    def _store_kinds(self) -> list[Fault]:
+    def _store_fault_choices(self) -> list[Fault]:
         return [*[self.change_routes] * CHANGES_WEIGHT, self.slow_store, self.slow_link]
 
     # Callers
 
-    async def _call(self) -> None:
+    async def _run_caller(self) -> None:
         pool = HttpPool()
-        while time.monotonic() < self.until_s:
+        while time.monotonic() < self.ends_s:
             vm = self.call_rng.choice(list(self.fleet.vms.values()))
-            kind = self.call_rng.choice(KINDS)
-            await self._ask(pool, vm, f"/{kind}/{self.number}")
-            await asyncio.sleep(CALL_EACH_S)
+            kind = self.call_rng.choice(REQUEST_KINDS)
+            await self._send_request(pool, vm, f"/{kind}/{self.request_count}")
+            await asyncio.sleep(CALL_INTERVAL_S)
         pool.close()
 
-    async def _probe(self, vm: EntryVm) -> None:
-        """Ask one VM for routes that were added and dropped lately."""
+    async def _probe_routes(self, vm: EntryVm) -> None:
+        """Send one VM requests for routes that were added or dropped recently."""
         pool = HttpPool()
-        while time.monotonic() < self.until_s:
-            name = self.call_rng.choice(list(self.fleet.added)[-PROBED:] or KINDS)
-            await self._ask(pool, vm, f"/{name}/{self.number}")
-            await asyncio.sleep(PROBE_EACH_S)
+        while time.monotonic() < self.ends_s:
+            name = self.call_rng.choice(
+                list(self.fleet.added)[-PROBED_ROUTES:] or REQUEST_KINDS
+            )
+            await self._send_request(pool, vm, f"/{name}/{self.request_count}")
+            await asyncio.sleep(PROBE_INTERVAL_S)
         pool.close()
 
-    async def _ask(self, pool: HttpPool, vm: EntryVm, path: str) -> None:
-        self.number += 1
-        request_id = f"q{self.number}"
+    async def _send_request(self, pool: HttpPool, vm: EntryVm, path: str) -> None:
+        self.request_count += 1
+        request_id = f"q{self.request_count}"
         self.fleet.witness.vm_of[request_id] = vm.name
         request = Request(
             address=vm.address,
             host=HOST,
             method="POST",
             path=path,
-            headers=caller_headers(request_id, wait_s=WAIT_S),
+            headers=caller_headers(request_id, wait_s=REQUEST_DEADLINE_S),
             body=b"x" * 10,
-            progress_timeout_s=WAIT_S + 2.0,
+            progress_timeout_s=REQUEST_DEADLINE_S + 2.0,
         )
         sent_s = time.monotonic()
         status, body = 0, b""
@@ -149,31 +152,33 @@
             if not error.sent:
                 return
         self.answered.append(
-            Answered(request_id, vm.name, path, sent_s, time.monotonic(), status, body)
+            CallerResponse(
+                request_id, vm.name, path, sent_s, time.monotonic(), status, body
+            )
         )
 
     # Faults
 
-    def _vm(self) -> EntryVm:
+    def _random_vm(self) -> EntryVm:
         return self.rng.choice(list(self.fleet.vms.values()))
 
     async def kill_vm(self) -> None:
-        vm = self._vm()
+        vm = self._random_vm()
         vm.note_disturbed()
         vm.send(signal.SIGKILL)
-        await self._start_again(vm)
+        await self._restart_when_exited(vm)
 
     async def stop_vm(self) -> None:
-        vm = self._vm()
+        vm = self._random_vm()
         now_s = time.monotonic()
         if vm.stopped_s and now_s - vm.stopped_s[-1] < GRACE_S + 1.0:
             return
         vm.stopped_s.append(now_s)
         vm.send(signal.SIGTERM)
-        await self._start_again(vm)
+        await self._restart_when_exited(vm)
         vm.stops_s.append((now_s, time.monotonic()))
 
-    async def _start_again(self, vm: EntryVm) -> None:
+    async def _restart_when_exited(self, vm: EntryVm) -> None:
         process = vm.process
         if process is None:
             return
@@ -185,7 +190,7 @@
             vm.start()
 
     async def pause_vm(self) -> None:
-        vm = self._vm()
+        vm = self._random_vm()
         vm.note_disturbed()
         vm.send(signal.SIGSTOP)
         await asyncio.sleep(self.rng.uniform(0.5, 3.0))
@@ -193,12 +198,12 @@
         vm.note_disturbed()
 
     async def reload_vm(self) -> None:
-        vm = self._vm()
+        vm = self._random_vm()
         vm.write_settings(slack=self.rng.uniform(20.0, 80.0))
         vm.send(signal.SIGHUP)
 
     async def cut_from_store(self) -> None:
-        vm, from_s = self._vm(), time.monotonic()
+        vm, from_s = self._random_vm(), time.monotonic()
         vm.store.faults.refuse = True
         vm.store.reset_all()
         await asyncio.sleep(self.rng.uniform(0.5, 5.0))
@@ -217,7 +222,7 @@
         vm = self.store_rng.choice(list(self.fleet.vms.values()))
         fault = self.store_rng.choice(("slow", f"slow {vm.store.address}"))
         faults = self.fleet.state.faults
-        faults.arm(fault, count=-1, value=SLOW_ANSWER_S)
+        faults.arm(fault, count=-1, value=SLOW_RESPONSE_S)
         await asyncio.sleep(self.store_rng.uniform(1.0, 5.0))
         faults.arm(fault, count=0, value=0.0)
 
@@ -235,19 +240,25 @@
             server.crash()
 
     async def leave_by_answers(self) -> None:
-        await self._leave(says_so=True)
+        await self._replace_server(announced=True)
 
     async def leave_unsaid(self) -> None:
-        await self._leave(says_so=False)
+        await self._replace_server(announced=False)
 
-    async def _leave(self, *, says_so: bool) -> None:
-        """Let a server leave: by its answers first, or by its entry alone."""
-        staying = [one for one in self.fleet.servers.values() if not one.leaving]
-        if len(staying) <= 2:
+    async def _replace_server(self, *, announced: bool) -> None:
+        """Remove a server, add another and stop the first after its drain time.
+
+        If `announced`, its responses announce the departure before its entry
+        is removed; otherwise only the removed entry shows it.
+        """
+        remaining = [
+            server for server in self.fleet.servers.values() if not server.leaving
+        ]
+        if len(remaining) <= 2:
             return
-        server = self.rng.choice(staying)
-        server.leaving = says_so
-        if says_so:
+        server = self.rng.choice(remaining)
+        server.leaving = announced
+        if announced:
             await asyncio.sleep(self.rng.uniform(1.0, 5.0))
         await self.fleet.remove(server)
         await self.fleet.add_server()
@@ -264,11 +275,11 @@
         path = f"{CRASHING}/{self.rng.randrange(2)}"
         pool = HttpPool()
         for vm in self.rng.sample(list(self.fleet.vms.values()), 2):
-            await self._ask(pool, vm, path)
+            await self._send_request(pool, vm, path)
         pool.close()
 
-    async def keep_servers_up(self) -> None:
-        """Let crashed servers come back at their address, in another life."""
+    async def replace_crashed_servers(self) -> None:
+        """Replace each crashed server by a new instance."""
         while True:
             for server in list(self.fleet.servers.values()):
                 if not server.up:
@@ -278,14 +289,14 @@
             await asyncio.sleep(0.2)
 
     def failures(self, *, timed: bool = True) -> dict[str, list[str]]:
-        """Return what broke, by the rule that it broke."""
+        """Return the violations found, by rule."""
         return EntryChecks(self.fleet, self.answered).failures(timed=timed)
 
 
 async def soak(
     seed: int, *, lasts_s: float, vms: int = VMS, directory: Path
 ) -> EntrySoak:
-    """Play one seed."""
+    """Run one seed on a new fleet."""
     fleet = EntryFleet(directory)
     await fleet.start(vms=vms, servers=SERVERS)
     run = EntrySoak(
@@ -295,17 +306,17 @@
         random.Random(f"store {seed}"),
         time.monotonic() + lasts_s,
     )
-    keeper = asyncio.create_task(run.keep_servers_up())
+    replacing = asyncio.create_task(run.replace_crashed_servers())
     try:
         await run.run()
     finally:
-        keeper.cancel()
+        replacing.cancel()
         await fleet.stop()
     return run
 
 
 def main() -> None:
-    """Play the seeds asked for and print what broke."""
+    """Run the seeds set in the environment and print the violations."""
     first = int(os.environ.get("SOAK_SEED", "1"))
     seeds = range(first, first + int(os.environ.get("SOAK_SEEDS", "1")))
     lasts_s = float(os.environ.get("SOAK_S", "20"))
@@ -314,7 +325,7 @@
         vms = int(os.environ.get("SOAK_VMS", str(VMS)))
         run = asyncio.run(soak(seed, lasts_s=lasts_s, vms=vms, directory=directory))
         failures = run.failures()
-        statuses = Counter(one.status for one in run.answered)
+        statuses = Counter(response.status for response in run.answered)
         print(
             f"seed {seed}: {len(run.answered)} requests {dict(statuses)}, faults"
             f" {dict(run.faults)}, broken {sum(map(len, failures.values()))},"
--- a/benchmarks/placement.py
+++ b/benchmarks/placement.py
@@ -1,12 +1,12 @@
-"""Placement policies over one seeded day: attainment against moves."""
+"""Compare placement policies over one seeded day: demand served against moves."""
 
 import random
 import time
 from collections.abc import Callable, Mapping
 from dataclasses import dataclass, field, replace
 
-from benchmarks._private import OUT, show
-from benchmarks.demand import DAY_S, MAHKAMA, ZAGORKA, Day, Shape
+from benchmarks._private import OUTPUT_DIR, write_table
+from benchmarks.demand import DAY_S, MAHKAMA, ZAGORKA, Day, DeploymentShape
 from rosepath.placement import plan
 from rosepath.placement_demand import load_per_slot
 from rosepath.placement_types import EngineView, PlacementPolicy, PlacementView
@@ -16,15 +16,15 @@
 TICK_S = 10.0
 DEMAND_WEIGHT = 0.5
 SEED = 20261202
-CURVE = (0.0, 5.0, 20.0, 100.0, 400.0, 2000.0, 10_000.0)
+MOVE_COSTS_S = (0.0, 5.0, 20.0, 100.0, 400.0, 2000.0, 10_000.0)
 DEFAULT_MOVE_COST_S = {"Mahkama": 20.0, "Zagorka": 400.0}
 
-Decide = Callable[["Fleet", PlacementView, float], list[Move]]
+PolicyFunction = Callable[["Fleet", PlacementView, float], list[Move]]
 
 
 @dataclass(slots=True)
 class FakeEngine:
-    """Hold an engine's memory as the engine itself would count it."""
+    """An engine's models and memory, counted as the engine itself counts them."""
 
     name: str
     memory_bytes: int
@@ -41,22 +41,25 @@
 
 @dataclass(slots=True)
 class Score:
-    """Hold what a policy reached over the day."""
+    """Totals of a policy over the day.
 
-    asked: float = 0.0
+    `served_limit` is what all live slots could have served.
+    """
+
+    requested: float = 0.0
     served: float = 0.0
-    bound: float = 0.0
+    served_limit: float = 0.0
     moves: int = 0
     night_moves: int = 0
     overcommitted: int = 0
     longest_gap_s: float = 0.0
-    over_time: list[tuple[float, float, int]] = field(default_factory=list)
+    history: list[tuple[float, float, int]] = field(default_factory=list)
 
 
 class Fleet:
-    """Fake engines behind a fake weight store, with an injected clock."""
+    """Simulated engines and weight store that run on a simulated clock."""
 
-    def __init__(self, shape: Shape, *, faults: bool) -> None:
+    def __init__(self, shape: DeploymentShape, *, faults: bool) -> None:
         self.shape = shape
         self.now_s = 0.0
         self.engines = {
@@ -69,11 +72,11 @@
         self.last_used_s: dict[tuple[str, str], float] = {}
         self.score = Score()
         self._weights = TokenBucket(rate_per_s=shape.loads_per_s, burst=1)
-        self._deaths = _deaths(shape) if faults else []
+        self._outages = _outages(shape) if faults else []
         self._missing_since_s: dict[str, float] = {}
 
     def view(self) -> PlacementView:
-        """Show the fleet as placement sees it."""
+        """Return the fleet as the placement planner sees it."""
         engines = {
             engine.name: EngineView(
                 name=engine.name,
@@ -95,9 +98,9 @@
         )
 
     def advance(self) -> None:
-        """Let time pass: loads end, engines die and return."""
+        """Advance the clock by a tick: finish loads, stop and restore engines."""
         self.now_s += TICK_S
-        for start_s, end_s, name in self._deaths:
+        for start_s, end_s, name in self._outages:
             engine = self.engines[name]
             alive = not start_s <= self.now_s < end_s
             if engine.alive and not alive:
@@ -109,8 +112,8 @@
                     engine.ready[target] = size
                     del engine.pending[target]
 
-    def carry_out(self, moves: list[Move]) -> None:
-        """Carry moves out as far as memory and the weight store allow."""
+    def execute(self, moves: list[Move]) -> None:
+        """Execute moves as far as memory and the weight store allow."""
         for move in moves:
             engine = self.engines[move.backend_server]
             if move.action is MoveAction.UNLOAD:
@@ -140,26 +143,26 @@
         self.score.night_moves += not start <= hour < end
 
     def serve(self, rates: Mapping[str, float]) -> None:
-        """Serve a tick's arrivals; what exceeds the slots misses its target."""
+        """Serve a tick's arrivals; those beyond the slots are not served."""
         capacity = {
             e.name: e.slots / self.shape.hold_s
             for e in self.engines.values()
             if e.alive
         }
-        served = _fill(rates, self.engines, capacity)
-        asked = sum(rates.values())
-        self.score.asked += asked * TICK_S
+        served = _distribute(rates, self.engines, capacity)
+        requested = sum(rates.values())
+        self.score.requested += requested * TICK_S
         self.score.served += sum(served.values()) * TICK_S
-        self.score.bound += min(asked, sum(capacity.values())) * TICK_S
+        self.score.served_limit += min(requested, sum(capacity.values())) * TICK_S
         for model, rate in rates.items():
-            self._note(model, rate)
+            self._update_demand(model, rate)
         for engine in self.engines.values():
             self.score.overcommitted += engine.used_bytes > engine.memory_bytes
         if int(self.now_s) % 600 == 0:
-            attained = self.score.served / max(1e-9, self.score.asked)
-            self.score.over_time.append((self.now_s, attained, self.score.moves))
+            attained = self.score.served / max(1e-9, self.score.requested)
+            self.score.history.append((self.now_s, attained, self.score.moves))
 
-    def _note(self, model: str, rate: float) -> None:
+    def _update_demand(self, model: str, rate: float) -> None:
         running = rate * self.shape.hold_s
         old = self.demand.get(model, 0.0)
         self.demand[model] = old + DEMAND_WEIGHT * (running - old)
@@ -175,7 +178,7 @@
         self.score.longest_gap_s = max(self.score.longest_gap_s, gap_s)
 
 
-def _sizes(shape: Shape) -> dict[str, int]:
+def _sizes(shape: DeploymentShape) -> dict[str, int]:
     rng = random.Random(SEED)
     per_adapter = 100
     floor = shape.engines * shape.engine_bytes * 0.55
@@ -187,7 +190,7 @@
     }
 
 
-def _deaths(shape: Shape) -> list[tuple[float, float, str]]:
+def _outages(shape: DeploymentShape) -> list[tuple[float, float, str]]:
     rng = random.Random(SEED + 1)
     starts = [rng.uniform(7, 10) * 3600, rng.uniform(12, 16) * 3600]
     return [
@@ -196,12 +199,12 @@
     ]
 
 
-def _fill(
+def _distribute(
     rates: Mapping[str, float],
     engines: Mapping[str, FakeEngine],
     capacity: Mapping[str, float],
 ) -> dict[str, float]:
-    """Spread arrivals over the copies, evening out the load, in small parts."""
+    """Distribute arrivals over the ready engines in small parts, to even the load."""
     left = dict(capacity)
     served = dict.fromkeys(rates, 0.0)
     holders = {
@@ -222,14 +225,16 @@
     return served
 
 
-def rosepath_policy(move_cost_s: float, quiet: tuple[int, int] | None) -> Decide:
-    """Decide as the product does."""
+def rosepath_policy(
+    move_cost_s: float, quiet: tuple[int, int] | None
+) -> PolicyFunction:
+    """Return a policy that plans with rosepath's own planner."""
 
     def decide(fleet: Fleet, view: PlacementView, now_s: float) -> list[Move]:
         hour = now_s / 3600 % 24
-        asleep = quiet is not None and (hour >= quiet[0] or hour < quiet[1])
+        in_quiet_hours = quiet is not None and (hour >= quiet[0] or hour < quiet[1])
         policy = PlacementPolicy(
-            move_cost_s=move_cost_s, demand_copies_allowed=not asleep
+            move_cost_s=move_cost_s, demand_copies_allowed=not in_quiet_hours
         )
         wanted = plan(view, policy)
         fleet.anchors = dict(wanted.anchors)
@@ -239,14 +244,14 @@
 
 
 def static_policy(fleet: Fleet, view: PlacementView, _: float) -> list[Move]:
-    """Keep the floor and nothing else."""
+    """Keep one anchored copy of each model and add none for demand."""
     policy = PlacementPolicy(demand_copies_allowed=False)
     fleet.anchors = dict(plan(view, policy).anchors)
     return list(plan(replace(view, anchors=fleet.anchors), policy).moves)
 
 
 def on_demand_policy(fleet: Fleet, view: PlacementView, now_s: float) -> list[Move]:
-    """Load whatever is crowded; unload the least recently used above the floor."""
+    """Add copies of overloaded models; evict the least recently used extra copies."""
     moves = static_policy(fleet, view, now_s)
     if moves:
         return moves
@@ -266,20 +271,20 @@
     fleet: Fleet, view: PlacementView, model: str, name: str
 ) -> list[Move]:
     engine, moves = view.engines[name], []
-    short = fleet.sizes[model] - engine.free_bytes
+    missing_bytes = fleet.sizes[model] - engine.free_bytes
     extras = [m for m in engine.ready if fleet.anchors.get(m) != name]
     for extra in sorted(extras, key=lambda m: fleet.last_used_s.get((m, name), 0)):
-        if short <= 0:
+        if missing_bytes <= 0:
             break
-        short -= fleet.sizes[extra]
+        missing_bytes -= fleet.sizes[extra]
         moves.append(_move(MoveAction.UNLOAD, extra, name, fleet))
-    if short <= 0:
+    if missing_bytes <= 0:
         moves.append(_move(MoveAction.LOAD, model, name, fleet))
     return moves
 
 
 def proportional_policy(fleet: Fleet, view: PlacementView, now_s: float) -> list[Move]:
-    """Every minute, give each model copies in proportion to its demand."""
+    """Set each model's copies in proportion to its demand, once a minute."""
     moves = static_policy(fleet, view, now_s)
     if moves or now_s % 60:
         return moves
@@ -315,20 +320,20 @@
     )
 
 
-def run_day(shape: Shape, decide: Decide, *, faults: bool) -> Score:
+def run_day(shape: DeploymentShape, decide: PolicyFunction, *, faults: bool) -> Score:
     """Run one day under a policy."""
     day, fleet = Day(shape, SEED), Fleet(shape, faults=faults)
     while fleet.now_s < DAY_S:
         fleet.advance()
         fleet.serve({m: day.rate_per_s(m, fleet.now_s) for m in day.models})
-        fleet.carry_out(decide(fleet, fleet.view(), fleet.now_s))
+        fleet.execute(decide(fleet, fleet.view(), fleet.now_s))
     return fleet.score
 
 
-def compare(shape: Shape) -> dict[str, Score]:
+def compare(shape: DeploymentShape) -> dict[str, Score]:
     """Run every policy over the same day, without and with faults."""
     own = rosepath_policy(DEFAULT_MOVE_COST_S[shape.name], shape.quiet_hours)
-    policies: dict[str, Decide] = {
+    policies: dict[str, PolicyFunction] = {
         "rosepath": own,
         "static": static_policy,
         "on demand, LRU": on_demand_policy,
@@ -344,16 +349,16 @@
                 [
                     name,
                     "yes" if faults else "no",
-                    score.served / score.asked,
-                    score.served / score.bound,
-                    score.served / score.asked / shape.engines,
+                    score.served / score.requested,
+                    score.served / score.served_limit,
+                    score.served / score.requested / shape.engines,
                     score.moves,
                     score.night_moves,
                     score.overcommitted,
                     score.longest_gap_s,
                 ]
             )
-    show(
+    write_table(
         f"Placement over a day: {shape.name}",
         (
             "policy",
@@ -371,15 +376,15 @@
     return scores
 
 
-def trade_off(shape: Shape) -> list[tuple[float, float, int]]:
-    """Show attainment against moves over the weight of a move."""
+def trade_off(shape: DeploymentShape) -> list[tuple[float, float, int]]:
+    """Report the demand served and the moves for several move costs."""
     points = []
-    for cost_s in CURVE:
+    for cost_s in MOVE_COSTS_S:
         decide = rosepath_policy(cost_s, shape.quiet_hours)
         score = run_day(shape, decide, faults=False)
-        points.append((cost_s, score.served / score.asked, score.moves))
+        points.append((cost_s, score.served / score.requested, score.moves))
     default = DEFAULT_MOVE_COST_S[shape.name]
-    show(
+    write_table(
         f"Attainment against moves: {shape.name} (default move_cost_s {default:g})",
         ("move_cost_s", "attainment", "moves"),
         points,
@@ -387,11 +392,11 @@
     return points
 
 
-def tick_cost() -> None:
-    """Time one plan at today's size and at the target's."""
+def time_plan() -> None:
+    """Time one plan at the current deployments' and at target sizes."""
     rows = []
     for models, engines in ((13, 5), (20, 6), (860, 227), (860, 2500)):
-        view = _large_view(models, engines)
+        view = large_view(models, engines)
         policy = PlacementPolicy()
         started_s = time.perf_counter()
         rounds = 0
@@ -401,10 +406,10 @@
         rows.append(
             [models, engines, 1000 * (time.perf_counter() - started_s) / rounds]
         )
-    show("Placement: one plan", ("models", "engines", "ms"), rows)
+    write_table("Placement: one plan", ("models", "engines", "ms"), rows)
 
 
-def _large_view(models: int, engines: int) -> PlacementView:
+def large_view(models: int, engines: int) -> PlacementView:
     rng = random.Random(SEED)
     names = [f"e{n}" for n in range(engines)]
     anchors = {f"m{n}": names[n % engines] for n in range(models)}
@@ -428,8 +433,8 @@
     )
 
 
-def draw(shape: Shape, scores: Mapping[str, Score]) -> None:
-    """Plot attainment and moves over the day."""
+def plot_day(shape: DeploymentShape, scores: Mapping[str, Score]) -> None:
+    """Plot the share of demand served and the moves over the day."""
     import matplotlib
 
     matplotlib.use("Agg")
@@ -437,22 +442,22 @@
 
     figure, (above, below) = pyplot.subplots(2, 1, sharex=True, figsize=(8, 6))
     for name, score in scores.items():
-        hours = [now_s / 3600 for now_s, _, _ in score.over_time]
-        above.plot(hours, [share for _, share, _ in score.over_time], label=name)
-        below.plot(hours, [moves for _, _, moves in score.over_time], label=name)
+        hours = [now_s / 3600 for now_s, _, _ in score.history]
+        above.plot(hours, [share for _, share, _ in score.history], label=name)
+        below.plot(hours, [moves for _, _, moves in score.history], label=name)
     above.set_ylabel("attainment so far")
     below.set_ylabel("moves so far")
     below.set_xlabel("hour of the day")
     above.set_title(f"{shape.name}: policies over one seeded day")
     above.legend()
-    OUT.mkdir(parents=True, exist_ok=True)
-    figure.savefig(OUT / f"placement-{shape.name.lower()}.png", dpi=100)
+    OUTPUT_DIR.mkdir(parents=True, exist_ok=True)
+    figure.savefig(OUTPUT_DIR / f"placement-{shape.name.lower()}.png", dpi=100)
     pyplot.close(figure)
 
 
 def main() -> None:
     """Compare policies for both shapes; write tables and plots."""
     for shape in (MAHKAMA, ZAGORKA):
-        draw(shape, compare(shape))
+        plot_day(shape, compare(shape))
         trade_off(shape)
-    tick_cost()
+    time_plan()
--- a/benchmarks/relay.py
+++ b/benchmarks/relay.py
@@ -1,26 +1,26 @@
-"""What a daemon adds to a stream: latency, processor time, memory, start."""
+"""Measure what a daemon adds to a stream, and its memory and start time."""
 
 import time
 from dataclasses import replace
 
 from benchmarks._private import (
     KEY,
-    caller,
+    benchmark_caller,
+    process_usage,
     run_cluster,
     run_loads,
-    show,
-    usage,
     wait_serving,
+    write_table,
 )
 from rosepath_standins.cluster import Cluster
 from rosepath_standins.load import LoadShape, percentile
 
 MODEL = "court-rules"
 STREAMS = (1, 32, 256)
-FLEET = 8
+FLEET_SIZE = 8
 
 
-async def _one_daemon(cluster: Cluster, *, tokens_per_event: int = 1) -> None:
+async def _start_one_daemon(cluster: Cluster, *, tokens_per_event: int = 1) -> None:
     cluster.start_platform(weight_loads_per_s=100.0)
     cluster.start_engine(
         "engine-1",
@@ -32,15 +32,15 @@
     await cluster.wait_listening()
     cluster.start_daemon("entry-1", "dc")
     await cluster.wait_live()
-    declarations = f"[model.{MODEL}]\nmemory_bytes = 1000\n" + caller()
+    declarations = f"[model.{MODEL}]\nmemory_bytes = 1000\n" + benchmark_caller()
     cluster.declare(
         declarations + cluster.engine_declarations({"engine-1": "dc"}, 80_000)
     )
     await wait_serving(cluster, [MODEL])
 
 
-async def _relay(cluster: Cluster) -> list[list[object]]:
-    await _one_daemon(cluster)
+async def _relay_overhead(cluster: Cluster) -> list[list[object]]:
+    await _start_one_daemon(cluster)
     daemon = cluster.daemons["entry-1"]
     rows = []
     for streams in STREAMS:
@@ -53,9 +53,9 @@
             duration_s=5.0,
             check=False,
         )
-        before = usage(daemon.process.pid)
+        before = process_usage(daemon.process.pid)
         through = await run_loads(shape, min(4, streams))
-        after = usage(daemon.process.pid)
+        after = process_usage(daemon.process.pid)
         direct = await _direct(cluster, streams)
         cpu_s = after.cpu_s - before.cpu_s
         rows.append(
@@ -73,16 +73,16 @@
 
 
 async def _direct(cluster: Cluster, streams: int) -> tuple[float, float]:
-    """Measure first tokens straight from the engine, in this same run."""
+    """Measure the time to first token straight from the engine, in the same run."""
     import asyncio
     import json
 
     from rosepath.http_client import HttpPool, Request
 
-    firsts: list[float] = []
+    first_chunk_s: list[float] = []
     ends_s = time.perf_counter() + 3.0
 
-    async def loop(number: int) -> None:
+    async def send_requests(number: int) -> None:
         pool = HttpPool()
         count = 0
         while time.perf_counter() < ends_s:
@@ -93,7 +93,7 @@
                 "prompt": f"p{number}-{count}",
                 "max_tokens": 50,
             }
-            seen: list[float] = []
+            chunk_times: list[float] = []
             started_s = time.perf_counter()
             await pool.exchange(
                 Request(
@@ -103,24 +103,26 @@
                     body=json.dumps(body).encode(),
                 ),
                 on_head=lambda _: None,
-                on_data=lambda _, seen=seen: seen.append(time.perf_counter()),
+                on_data=lambda _, chunk_times=chunk_times: chunk_times.append(
+                    time.perf_counter()
+                ),
             )
-            firsts.append(seen[0] - started_s)
+            first_chunk_s.append(chunk_times[0] - started_s)
         pool.close()
 
-    await asyncio.gather(*(loop(number) for number in range(min(streams, 64))))
-    return percentile(firsts, 0.5), percentile(firsts, 0.99)
+    await asyncio.gather(*(send_requests(number) for number in range(min(streams, 64))))
+    return percentile(first_chunk_s, 0.5), percentile(first_chunk_s, 0.99)
 
 
-async def _slopes(cluster: Cluster) -> list[list[object]]:
-    """Tell the cost of a token from that of a request and of idling."""
+async def _marginal_costs(cluster: Cluster) -> list[list[object]]:
+    """Separate the CPU cost of a token, of a request and of an idle daemon."""
     import asyncio
 
-    await _one_daemon(cluster)
+    await _start_one_daemon(cluster)
     daemon = cluster.daemons["entry-1"]
-    before = usage(daemon.process.pid).cpu_s
+    before = process_usage(daemon.process.pid).cpu_s
     await asyncio.sleep(5.0)
-    idle = (usage(daemon.process.pid).cpu_s - before) / 5.0
+    idle = (process_usage(daemon.process.pid).cpu_s - before) / 5.0
     samples = []
     for tokens in (10, 200):
         shape = LoadShape(
@@ -132,9 +134,11 @@
             duration_s=6.0,
             check=False,
         )
-        before = usage(daemon.process.pid).cpu_s
+        before = process_usage(daemon.process.pid).cpu_s
         result = await run_loads(shape, 4)
-        cpu_s = usage(daemon.process.pid).cpu_s - before - idle * result.elapsed_s
+        cpu_s = (
+            process_usage(daemon.process.pid).cpu_s - before - idle * result.elapsed_s
+        )
         samples.append((result.whole, result.tokens, cpu_s))
     (r1, t1, c1), (r2, t2, c2) = samples
     per_token_s = (c2 * r1 - c1 * r2) / (t2 * r1 - t1 * r2)
@@ -143,7 +147,7 @@
 
 
 async def _coalesced(cluster: Cluster) -> list[list[object]]:
-    await _one_daemon(cluster, tokens_per_event=4)
+    await _start_one_daemon(cluster, tokens_per_event=4)
     daemon = cluster.daemons["entry-1"]
     shape = LoadShape(
         addresses=(daemon.callers,),
@@ -154,16 +158,16 @@
         duration_s=5.0,
         check=False,
     )
-    before = usage(daemon.process.pid)
+    before = process_usage(daemon.process.pid)
     through = await run_loads(shape, 4)
-    cpu_s = usage(daemon.process.pid).cpu_s - before.cpu_s
+    cpu_s = process_usage(daemon.process.pid).cpu_s - before.cpu_s
     return [[4, 1e6 * cpu_s / max(1, through.tokens)]]
 
 
 async def _memory_and_start(cluster: Cluster) -> list[list[object]]:
-    await _one_daemon(cluster)
+    await _start_one_daemon(cluster)
     daemon = cluster.daemons["entry-1"]
-    idle = usage(daemon.process.pid).memory_bytes
+    idle = process_usage(daemon.process.pid).memory_bytes
     import asyncio
 
     shape = LoadShape(
@@ -178,7 +182,7 @@
     running = asyncio.ensure_future(run_loads(shape, 4))
     peak = idle
     while not running.done():
-        peak = max(peak, usage(daemon.process.pid).memory_bytes)
+        peak = max(peak, process_usage(daemon.process.pid).memory_bytes)
         await asyncio.sleep(0.1)
     started_s = time.perf_counter()
     second = cluster.start_daemon("entry-2", "dc")
@@ -188,19 +192,21 @@
 
 
 async def _fleet(cluster: Cluster) -> list[list[object]]:
-    """Serve short requests through a fleet; all of it shares this machine."""
+    """Measure short requests through a fleet that shares this machine."""
     cluster.start_platform(weight_loads_per_s=100.0)
     for number in range(2):
         cluster.start_engine(
             f"engine-{number}", slots=1000, token_interval_s=0.0, tokens_per_event=8
         )
     await cluster.wait_listening()
-    for number in range(FLEET):
+    for number in range(FLEET_SIZE):
         cluster.start_daemon(f"entry-{number}", "dc")
     await cluster.wait_live()
-    homes = dict.fromkeys(cluster.engines, "dc")
+    data_centres = dict.fromkeys(cluster.engines, "dc")
     models = "".join(f"[model.m{n}]\nmemory_bytes = 1000\n" for n in range(4))
-    cluster.declare(models + caller() + cluster.engine_declarations(homes, 80_000))
+    cluster.declare(
+        models + benchmark_caller() + cluster.engine_declarations(data_centres, 80_000)
+    )
     names = tuple(f"m{n}" for n in range(4))
     await wait_serving(cluster, names)
     shape = LoadShape(
@@ -213,17 +219,19 @@
         check=False,
     )
     pids = [daemon.process.pid for daemon in cluster.daemons.values()]
-    before = sum(usage(pid).cpu_s for pid in pids)
+    before = sum(process_usage(pid).cpu_s for pid in pids)
     result = await run_loads(replace(shape), 4)
-    cpu_s = sum(usage(pid).cpu_s for pid in pids) - before
+    cpu_s = sum(process_usage(pid).cpu_s for pid in pids) - before
     rate = result.started / result.elapsed_s
     per_core = result.whole / max(1e-9, cpu_s)
-    return [[rate, per_core, 1000 * cpu_s / max(1, result.whole), per_core * FLEET]]
+    return [
+        [rate, per_core, 1000 * cpu_s / max(1, result.whole), per_core * FLEET_SIZE]
+    ]
 
 
 def main() -> None:
-    """Run every measurement of the relay."""
-    show(
+    """Run all relay measurements."""
+    write_table(
         "Relay: through one daemon against straight to the engine",
         (
             "streams",
@@ -234,25 +242,25 @@
             "tokens/s per core",
             "failed",
         ),
-        run_cluster(_relay),
+        run_cluster(_relay_overhead),
     )
-    show(
+    write_table(
         "Relay: slopes at 32 streams",
         ("idle % of a core", "CPU us/token", "CPU ms/request"),
-        run_cluster(_slopes),
+        run_cluster(_marginal_costs),
     )
-    show(
+    write_table(
         "Relay: several tokens an event",
         ("tokens an event", "CPU us/token"),
         run_cluster(_coalesced),
     )
-    show(
+    write_table(
         "Memory and start",
         ("idle MB", "KB per open stream", "start to ready s"),
         run_cluster(_memory_and_start),
     )
-    show(
-        f"Fleet of {FLEET}: short requests, clients and engines on the same cores",
+    write_table(
+        f"Fleet of {FLEET_SIZE}: short requests, clients and engines on the same cores",
         (
             "requests/s",
             "requests/s per daemon core",
--- a/benchmarks/retries.py
+++ b/benchmarks/retries.py
@@ -1,8 +1,15 @@
-"""What retries add when a third of the replicas fail."""
+"""Measure the extra runs that retries cause when a third of the replicas fail."""
 
 import asyncio
 
-from benchmarks._private import KEY, caller, run_cluster, run_loads, show, wait_serving
+from benchmarks._private import (
+    KEY,
+    benchmark_caller,
+    run_cluster,
+    run_loads,
+    wait_serving,
+    write_table,
+)
 from rosepath_standins.cluster import Cluster
 from rosepath_standins.load import LoadShape
 
@@ -24,11 +31,11 @@
     for number in range(2):
         cluster.start_daemon(f"entry-{number}", "dc")
     await cluster.wait_live()
-    homes = dict.fromkeys(cluster.engines, "dc")
+    data_centres = dict.fromkeys(cluster.engines, "dc")
     cluster.declare(
         f"[model.{MODEL}]\nmemory_bytes = 1\n"
-        + caller()
-        + cluster.engine_declarations(homes, 80_000)
+        + benchmark_caller()
+        + cluster.engine_declarations(data_centres, 80_000)
     )
     await wait_serving(cluster, [MODEL])
     rows = []
@@ -37,7 +44,7 @@
     return rows
 
 
-async def _started(cluster: Cluster) -> int:
+async def _count_started(cluster: Cluster) -> int:
     total = 0
     for process in cluster.engines.values():
         if process.popen is not None and process.popen.poll() is None:
@@ -56,8 +63,8 @@
         duration_s=6.0,
     )
     failing = list(cluster.engines.values())[: ENGINES // 3]
-    before = await _started(cluster)
-    loading = asyncio.ensure_future(run_loads(shape, 2))
+    before = await _count_started(cluster)
+    load_task = asyncio.ensure_future(run_loads(shape, 2))
     await asyncio.sleep(1.0)
     for process in failing:
         if kind == "killed":
@@ -66,8 +73,8 @@
             process.kill()
         else:
             await cluster.fault(process, kind, count=100_000, value=3)
-    result = await loading
-    extra = await _started(cluster) - before - result.started
+    result = await load_task
+    extra = await _count_started(cluster) - before - result.started
     for process in failing if kind != "killed" else []:
         await cluster.fault(process, kind, count=0)
     return [
@@ -81,8 +88,8 @@
 
 
 def main() -> None:
-    """Fail a third of the replicas in three ways."""
-    show(
+    """Fail a third of the replicas with each of three faults."""
+    write_table(
         "Retries: a third of the replicas fail",
         (
             "fault",
--- a/benchmarks/routing.py
+++ b/benchmarks/routing.py
@@ -1,4 +1,4 @@
-"""Routing policies over real engines, their reports lagging, side by side."""
+"""Compare routing policies over real engines whose load reports are delayed."""
 
 import asyncio
 import random
@@ -8,7 +8,7 @@
 from collections.abc import Callable, Sequence
 from dataclasses import dataclass, field
 
-from benchmarks._private import run_cluster, show
+from benchmarks._private import run_cluster, write_table
 from rosepath.backend import Generation, SendPolicy
 from rosepath.backend_http import HttpBackend
 from rosepath.errors import RosepathError
@@ -24,18 +24,18 @@
 ROUTERS = 4
 TOKENS = 10
 RATE_PER_S = 135.0
-SECONDS_S = 4.0
+DURATION_S = 4.0
 TARGET_S = 0.39
 LAGS_S = (0.1, 1.0, 2.0)
 PREFIX_CHARS = 768
-GROUPS = 48
+PREFIX_GROUPS = 48
 
-Choose = Callable[["Router", list[int]], Replica]
+RoutingFunction = Callable[["Router", list[int]], Replica]
 
 
 @dataclass(slots=True)
 class Router:
-    """Hold one router's own view of the engines."""
+    """One router and its own view of the engines."""
 
     replicas: list[Replica]
     rng: random.Random
@@ -75,7 +75,7 @@
     return chosen
 
 
-POLICIES: dict[str, Choose] = {
+POLICIES: dict[str, RoutingFunction] = {
     "random": at_random,
     "round robin": round_robin,
     "least outstanding": least_outstanding,
@@ -83,20 +83,20 @@
 }
 
 
-def _prompts(skewed: bool, rng: random.Random) -> Callable[[], str]:
-    weights = [1.0 / (n + 1) if skewed else 1.0 for n in range(GROUPS)]
+def _prompt_maker(skewed: bool, rng: random.Random) -> Callable[[], str]:
+    weights = [1.0 / (n + 1) if skewed else 1.0 for n in range(PREFIX_GROUPS)]
     salt = uuid.uuid4().hex
 
     def make() -> str:
-        group = rng.choices(range(GROUPS), weights)[0]
+        group = rng.choices(range(PREFIX_GROUPS), weights)[0]
         prefix = f"{salt}{group:04d}" * (PREFIX_CHARS // 36 + 1)
         return prefix[:PREFIX_CHARS] + uuid.uuid4().hex
 
     return make
 
 
-async def _follow(cluster: Cluster, router: Router, lag_s: float) -> None:
-    """Read reports at the interval that makes them lag."""
+async def _poll_reports(cluster: Cluster, router: Router, lag_s: float) -> None:
+    """Poll the engines' reports every `lag_s` seconds."""
     backend = HttpBackend(HttpPool())
     while True:
         for replica in router.replicas:
@@ -112,8 +112,8 @@
         await asyncio.sleep(lag_s)
 
 
-async def _one(
-    router: Router, backend: HttpBackend, choose: Choose, prompt: str
+async def _send_request(
+    router: Router, backend: HttpBackend, choose: RoutingFunction, prompt: str
 ) -> float | None:
     keys = prefix_keys("m", prompt)
     replica = choose(router, keys)
@@ -139,13 +139,13 @@
     except RosepathError:
         return None
     finally:
-        held_s = time.monotonic() - started_s
-        replica.hold_s += 0.1 * (held_s - replica.hold_s)
+        took_s = time.monotonic() - started_s
+        replica.hold_s += 0.1 * (took_s - replica.hold_s)
         replica.own_starts.pop(request_id, None)
     return first_s[0] if first_s else None
 
 
-async def _hits(cluster: Cluster) -> Counter[str]:
+async def _cache_hits(cluster: Cluster) -> Counter[str]:
     total: Counter[str] = Counter()
     for process in cluster.engines.values():
         record = await cluster.record(process)
@@ -155,7 +155,7 @@
 
 
 async def _run_policy(
-    cluster: Cluster, choose: Choose, *, skewed: bool, lag_s: float
+    cluster: Cluster, choose: RoutingFunction, *, skewed: bool, lag_s: float
 ) -> tuple[float, float, float]:
     routers = [
         Router(
@@ -174,29 +174,32 @@
         )
         for seed in range(ROUTERS)
     ]
-    following = [
-        asyncio.ensure_future(_follow(cluster, router, lag_s)) for router in routers
+    pollers = [
+        asyncio.ensure_future(_poll_reports(cluster, router, lag_s))
+        for router in routers
     ]
     backend = HttpBackend(HttpPool())
     rng = random.Random(7)
-    prompt = _prompts(skewed, rng)
-    before = await _hits(cluster)
+    prompt = _prompt_maker(skewed, rng)
+    before = await _cache_hits(cluster)
     sent: list[asyncio.Future[float | None]] = []
-    ends_s = time.monotonic() + SECONDS_S
+    ends_s = time.monotonic() + DURATION_S
     next_s = time.monotonic()
     while next_s < ends_s:
         await asyncio.sleep(max(0.0, next_s - time.monotonic()))
         router = rng.choice(routers)
-        sent.append(asyncio.ensure_future(_one(router, backend, choose, prompt())))
+        sent.append(
+            asyncio.ensure_future(_send_request(router, backend, choose, prompt()))
+        )
         next_s += rng.expovariate(RATE_PER_S)
     firsts = await asyncio.gather(*sent)
-    for task in following:
+    for task in pollers:
         task.cancel()
-    after = await _hits(cluster)
-    answered = [value for value in firsts if value is not None]
-    within = sum(value <= TARGET_S for value in answered) / len(firsts)
+    after = await _cache_hits(cluster)
+    first_token_s = [value for value in firsts if value is not None]
+    within = sum(value <= TARGET_S for value in first_token_s) / len(firsts)
     hits = (after["hits"] - before["hits"]) / (after["lookups"] - before["lookups"])
-    return within, percentile(answered, 0.99), hits
+    return within, percentile(first_token_s, 0.99), hits
 
 
 async def _compare(cluster: Cluster) -> Sequence[Sequence[object]]:
@@ -223,8 +226,8 @@
 
 
 def main() -> None:
-    """Compare the policies under both loads and three lags."""
-    show(
+    """Compare the policies under uniform and skewed load, at three report lags."""
+    write_table(
         f"Routing: {ENGINES} engines of {SLOTS} slots, {ROUTERS} routers, "
         f"{RATE_PER_S:g} requests/s",
         ("load", "report lag s", "policy", f"within {TARGET_S} s", "p99 s", "hit rate"),
--- a/benchmarks/soak.py
+++ b/benchmarks/soak.py
@@ -1,6 +1,6 @@
-"""A soak of the Mahkama shape under a seeded schedule of faults.
+"""A soak of a deployment of Mahkama's size under a seeded schedule of faults.
 
-The witness is the stand-ins' own records, never rosepath's.
+The checks rely on the stand-ins' records only, never on rosepath's own.
 """
 
 import asyncio
@@ -15,7 +15,13 @@
 from dataclasses import dataclass, field
 from typing import Any
 
-from benchmarks._private import KEY, caller, run_cluster, show, wait_serving
+from benchmarks._private import (
+    KEY,
+    benchmark_caller,
+    run_cluster,
+    wait_serving,
+    write_table,
+)
 from rosepath.errors import ExchangeError
 from rosepath.http_client import HttpPool, Request
 from rosepath_standins.cluster import Cluster, Daemon, Process
@@ -33,19 +39,19 @@
 
 
 @dataclass(slots=True)
-class Tally:
-    """Hold what callers and witnesses saw."""
+class SoakResults:
+    """What callers received and what the stand-ins recorded."""
 
     counts: Counter[str] = field(default_factory=Counter)
     refused: Counter[str] = field(default_factory=Counter)
     not_run_ids: set[str] = field(default_factory=set)
     posts: Counter[str] = field(default_factory=Counter)
-    post_refused_no: set[str] = field(default_factory=set)
+    posts_refused_as_not_run: set[str] = field(default_factory=set)
     started: Counter[str] = field(default_factory=Counter)
     run_keys: Counter[str] = field(default_factory=Counter)
     overcommitted: int = 0
     killed_at_s: dict[str, float] = field(default_factory=dict)
-    late_work: int = 0
+    late_runs: int = 0
     exit_codes: Counter[int] = field(default_factory=Counter)
     faults: Counter[str] = field(default_factory=Counter)
     messages: list[str] = field(default_factory=list)
@@ -54,17 +60,17 @@
 
 @dataclass(slots=True)
 class Soak:
-    """Hold one run."""
+    """One soak run: its callers, its faults and its results."""
 
     cluster: Cluster
-    seconds_s: float
+    duration_s: float
     rng: random.Random = field(default_factory=lambda: random.Random(SEED))
-    tally: Tally = field(default_factory=Tally)
+    results: SoakResults = field(default_factory=SoakResults)
     down: set[str] = field(default_factory=set)
     ends_s: float = 0.0
     next_name: int = ENTRY_VMS
 
-    # Callers, behind something that does what the platform's balancer does
+    # Callers, which choose entry VMs as the platform's balancer does
 
     async def call(self) -> None:
         """Send requests until the end, one after another."""
@@ -79,8 +85,10 @@
     async def _send(
         self, pool: HttpPool, method: str, path: str, body: bytes, **headers: str
     ) -> tuple[str, int, bytes]:
-        """Send through any entry VM that takes connections."""
-        given = {name.replace("_", "-"): value for name, value in headers.items()}
+        """Send a request through any entry VM that accepts connections."""
+        extra_headers = {
+            name.replace("_", "-"): value for name, value in headers.items()
+        }
         while True:
             daemon = self.rng.choice(list(self.cluster.daemons.values()))
             request = Request(
@@ -88,87 +96,87 @@
                 method=method,
                 path=path,
                 body=body,
-                headers={"Authorization": f"Bearer {KEY}", **given},
+                headers={"Authorization": f"Bearer {KEY}", **extra_headers},
                 progress_timeout_s=20.0,
             )
             started_s = time.time()
             try:
-                head, answer = await pool.fetch(request)
-                return daemon.name, head.status, answer
+                head, response = await pool.fetch(request)
+                return daemon.name, head.status, response
             except ExchangeError as error:
                 if not error.sent:
                     await asyncio.sleep(0.05)
                     continue
-                excused = self._was_harmed(daemon.name, started_s)
-                self.tally.counts["broken by a kill" if excused else "cut"] += 1
+                excused = self._was_killed_or_paused(daemon.name, started_s)
+                self.results.counts["broken by a kill" if excused else "cut"] += 1
                 if not excused:
-                    self.tally.messages.append(f"{daemon.name} {path}: {error}")
+                    self.results.messages.append(f"{daemon.name} {path}: {error}")
                 return daemon.name, 0, b""
 
-    def _was_harmed(self, name: str, since_s: float) -> bool:
-        return self.tally.killed_at_s.get(name, 0.0) >= since_s - 1.0
+    def _was_killed_or_paused(self, name: str, since_s: float) -> bool:
+        return self.results.killed_at_s.get(name, 0.0) >= since_s - 1.0
 
     async def _stream(self, pool: HttpPool) -> None:
         model, prompt = self.rng.choice(MODELS), uuid.uuid4().hex
         tokens = self.rng.choice((5, 20, 60))
         body = {"model": model, "prompt": prompt, "max_tokens": tokens, "stream": True}
-        self.tally.counts["requests"] += 1
-        _, status, answer = await self._send(
+        self.results.counts["requests"] += 1
+        _, status, response = await self._send(
             pool, "POST", "/v1/completions", json.dumps(body).encode()
         )
         if status == 200:
-            self._check_stream(answer, model, prompt, tokens)
+            self._check_stream(response, model, prompt, tokens)
         elif status:
-            self._note_refusal(answer)
+            self._note_refusal(response)
 
     def _check_stream(
-        self, answer: bytes, model: str, prompt: str, tokens: int
+        self, response: bytes, model: str, prompt: str, tokens: int
     ) -> None:
         events = [
             json.loads(line[6:])
-            for line in answer.split(b"\n")
+            for line in response.split(b"\n")
             if line.startswith(b"data: {")
         ]
         text = "".join(c["text"] for e in events for c in e.get("choices", ()))
         expected = answer_text(model, prompt, tokens)
-        if answer.endswith(b"data: [DONE]\n\n") and text == expected:
-            self.tally.counts["complete answers"] += 1
+        if response.endswith(b"data: [DONE]\n\n") and text == expected:
+            self.results.counts["complete answers"] += 1
         elif events and "error" in events[-1] and expected.startswith(text):
             self._note_error(events[-1]["error"])
         else:
-            self.tally.counts["wrong or mixed answers"] += 1
-            self.tally.messages.append(f"wrong: {answer[-300:]!r}")
+            self.results.counts["wrong or mixed answers"] += 1
+            self.results.messages.append(f"wrong: {response[-300:]!r}")
 
     async def _post(self, pool: HttpPool) -> None:
         key = uuid.uuid4().hex
-        self.tally.counts["requests"] += 1
-        self.tally.posts[key] += 1
-        _, status, answer = await self._send(
+        self.results.counts["requests"] += 1
+        self.results.posts[key] += 1
+        _, status, response = await self._send(
             pool, "POST", "/services/greffe-api/claims", b"claim", X_Run_Key=key
         )
         if status == 200:
-            matches = json.loads(answer)["run_key"] == key
+            matches = json.loads(response)["run_key"] == key
             name = "complete answers" if matches else "wrong or mixed answers"
-            self.tally.counts[name] += 1
+            self.results.counts[name] += 1
         elif status:
-            error = self._note_refusal(answer)
+            error = self._note_refusal(response)
             if error["run"] == "no":
-                self.tally.post_refused_no.add(key)
+                self.results.posts_refused_as_not_run.add(key)
 
-    def _note_refusal(self, answer: bytes) -> dict[str, Any]:
-        error: dict[str, Any] = json.loads(answer)["error"]
+    def _note_refusal(self, response: bytes) -> dict[str, Any]:
+        error: dict[str, Any] = json.loads(response)["error"]
         self._note_error(error)
         return error
 
     def _note_error(self, error: dict[str, Any]) -> None:
-        self.tally.refused[f"{error['run']}: {error['code']}"] += 1
+        self.results.refused[f"{error['run']}: {error['code']}"] += 1
         if error["run"] == "no":
-            self.tally.not_run_ids.add(error["request_id"])
+            self.results.not_run_ids.add(error["request_id"])
 
     # Faults
 
-    async def spoil(self) -> None:
-        """Cause faults, singly and two at a time, until the end."""
+    async def inject_faults(self) -> None:
+        """Inject one or two faults at a time until shortly before the end."""
         faults: tuple[Callable[[], Awaitable[None]], ...] = (
             self._kill_entry_vm,
             self._stop_entry_vm,
@@ -183,10 +191,10 @@
         while time.time() < self.ends_s - 8:
             await asyncio.sleep(self.rng.uniform(*FAULT_INTERVAL_S))
             for fault in self.rng.sample(faults, self.rng.choice((1, 1, 2))):
-                self.tally.faults[fault.__name__.strip("_")] += 1
+                self.results.faults[fault.__name__.strip("_")] += 1
                 asyncio.ensure_future(fault())
 
-    def _some_daemon(self) -> Daemon | None:
+    def _reserve_daemon(self) -> Daemon | None:
         names = [n for n in self.cluster.daemons if n not in self.down]
         if len(names) <= ENTRY_VMS - 3:
             return None
@@ -195,14 +203,14 @@
         return self.cluster.daemons[name]
 
     async def _kill_entry_vm(self) -> None:
-        daemon = self._some_daemon()
+        daemon = self._reserve_daemon()
         if daemon is not None:
-            self.tally.killed_at_s[daemon.name] = time.time()
+            self.results.killed_at_s[daemon.name] = time.time()
             daemon.process.kill()
             await asyncio.sleep(2.0)
-            await self._back(daemon)
+            await self._restart(daemon)
 
-    async def _back(self, daemon: Daemon) -> None:
+    async def _restart(self, daemon: Daemon) -> None:
         daemon.process.start()
         await self.cluster.until(lambda: self._ready(daemon), timeout_s=30)
         self.down.discard(daemon.name)
@@ -212,19 +220,19 @@
         return head.status == 200
 
     async def _stop_entry_vm(self) -> None:
-        daemon = self._some_daemon()
+        daemon = self._reserve_daemon()
         if daemon is not None:
             daemon.process.signal(signal.SIGTERM)
             code = await asyncio.to_thread(daemon.process.wait, 60)
-            self.tally.exit_codes[code] += 1
-            await self._back(daemon)
+            self.results.exit_codes[code] += 1
+            await self._restart(daemon)
 
     async def _pause_entry_vm(self) -> None:
-        daemon = self._some_daemon()
+        daemon = self._reserve_daemon()
         if daemon is not None:
             daemon.process.signal(signal.SIGSTOP)
             await asyncio.sleep(7.0)
-            self.tally.killed_at_s[daemon.name] = time.time()
+            self.results.killed_at_s[daemon.name] = time.time()
             daemon.process.signal(signal.SIGCONT)
             self.down.discard(daemon.name)
 
@@ -233,7 +241,7 @@
             return
         self.down.add("engine")
         process = self.rng.choice(list(self.cluster.engines.values()))
-        await self._witness_engine(process)
+        await self._collect_engine_record(process)
         process.kill()
         await asyncio.sleep(4.0)
         process.start()
@@ -241,18 +249,18 @@
         self.down.discard("engine")
 
     async def _leaving_engine(self) -> None:
-        """Let an engine leave, watch for late work, then replace it."""
+        """Drain an engine, count the runs it still receives, then restart it."""
         if "engine" in self.down:
             return
         self.down.add("engine")
         process = self.rng.choice(list(self.cluster.engines.values()))
         await self.cluster.json(process.address, "/admin/leave", method="POST")
-        left_s = time.time()
+        departed_s = time.time()
         await asyncio.sleep(6.0)
         record = await self.cluster.record(process)
-        late = [at for at in record["started_at"].values() if at > left_s + 3]
-        self.tally.late_work += len(late)
-        await self._witness_engine(process)
+        late = [at for at in record["started_at"].values() if at > departed_s + 3]
+        self.results.late_runs += len(late)
+        await self._collect_engine_record(process)
         process.kill()
         process.start()
         await asyncio.sleep(6.0)
@@ -275,15 +283,15 @@
         )
         for order_fault in ("lose_order", "delay_order"):
             if self.rng.random() < 0.3:
-                await self._arm(process, order_fault, value=2.0)
-        await self._arm(process, name, count=4, value=2)
+                await self._arm_fault(process, order_fault, value=2.0)
+        await self._arm_fault(process, name, count=4, value=2)
 
     async def _services(self) -> None:
         process = self.rng.choice(list(self.cluster.services.values()))
         name = self.rng.choice(("lose_reply", "refuse"))
-        await self._arm(process, name, count=4)
+        await self._arm_fault(process, name, count=4)
 
-    async def _arm(
+    async def _arm_fault(
         self, process: Process, name: str, *, count: int = 1, value: float = 0
     ) -> None:
         try:
@@ -291,23 +299,23 @@
         except ExchangeError:
             return
 
-    # Witnesses
+    # Records of the stand-ins
 
-    async def _witness_engine(self, process: Process) -> None:
+    async def _collect_engine_record(self, process: Process) -> None:
         try:
             record = await self.cluster.record(process)
         except ExchangeError:
             return
-        self.tally.overcommitted += record["overcommitted"]
-        self.tally.started.update(record["started"])
+        self.results.overcommitted += record["overcommitted"]
+        self.results.started.update(record["started"])
 
-    async def witness(self) -> None:
-        """Read every record at the end."""
+    async def collect_records(self) -> None:
+        """Add the records of all engines and services to the results."""
         for process in self.cluster.engines.values():
-            await self._witness_engine(process)
+            await self._collect_engine_record(process)
         for process in self.cluster.services.values():
             record = await self.cluster.record(process)
-            self.tally.run_keys.update(record["runs"])
+            self.results.run_keys.update(record["runs"])
 
 
 async def _start(cluster: Cluster) -> None:
@@ -329,28 +337,28 @@
         "stop": {"balancer_wait_s": 0.5},
     }
     for number in range(ENTRY_VMS):
-        home = DATA_CENTRES[number % len(DATA_CENTRES)]
-        cluster.start_daemon(f"entry-{number}", home, settings=settings)
+        data_centre = DATA_CENTRES[number % len(DATA_CENTRES)]
+        cluster.start_daemon(f"entry-{number}", data_centre, settings=settings)
     await cluster.wait_live()
     names = [*cluster.engines, *cluster.services]
-    homes = {n: DATA_CENTRES[int(n[-1]) % len(DATA_CENTRES)] for n in names}
+    data_centres = {n: DATA_CENTRES[int(n[-1]) % len(DATA_CENTRES)] for n in names}
     models = "".join(f"[model.{m}]\nmemory_bytes = 30000\n" for m in MODELS)
     declarations = (
         models
-        + caller()
-        + cluster.engine_declarations(homes, MEMORY_BYTES)
-        + cluster.service_declarations("greffe-api", homes)
+        + benchmark_caller()
+        + cluster.engine_declarations(data_centres, MEMORY_BYTES)
+        + cluster.service_declarations("greffe-api", data_centres)
     )
     await asyncio.to_thread(cluster.declare, declarations)
     await wait_serving(cluster, MODELS)
 
 
-async def _soak(cluster: Cluster, seconds_s: float) -> Tally:
+async def _soak(cluster: Cluster, duration_s: float) -> SoakResults:
     await _start(cluster)
-    run = Soak(cluster, seconds_s, ends_s=time.time() + seconds_s)
-    spoiling = asyncio.ensure_future(run.spoil())
+    run = Soak(cluster, duration_s, ends_s=time.time() + duration_s)
+    injecting = asyncio.ensure_future(run.inject_faults())
     await asyncio.gather(*(run.call() for _ in range(STREAMS)))
-    await spoiling
+    await injecting
     await asyncio.sleep(8.0)
     for daemon in cluster.daemons.values():
         daemon.process.signal(signal.SIGCONT)
@@ -358,50 +366,52 @@
         try:
             await wait_serving(cluster, [model])
         except TimeoutError:
-            run.tally.unreachable.append(model)
-    await run.witness()
-    return run.tally
+            run.results.unreachable.append(model)
+    await run.collect_records()
+    return run.results
 
 
-def _rows(tally: Tally) -> list[list[object]]:
-    ran_no = [
+def _rows(results: SoakResults) -> list[list[object]]:
+    ran_despite_refusal = [
         request_id
-        for request_id in tally.not_run_ids
-        if tally.started.get(request_id, 0)
+        for request_id in results.not_run_ids
+        if results.started.get(request_id, 0)
     ]
-    ran_no += [key for key in tally.post_refused_no if tally.run_keys.get(key, 0)]
-    counts = tally.counts
-    bad_stops = sum(n for code, n in tally.exit_codes.items() if code != 0)
+    ran_despite_refusal += [
+        key for key in results.posts_refused_as_not_run if results.run_keys.get(key, 0)
+    ]
+    counts = results.counts
+    bad_stops = sum(n for code, n in results.exit_codes.items() if code != 0)
     return [
         ["requests", counts["requests"]],
         ["complete answers", counts["complete answers"]],
-        ["refusals and errors by run", dict(tally.refused)],
+        ["refusals and errors by run", dict(results.refused)],
         ["broken with a killed or paused entry VM", counts["broken by a kill"]],
-        ["planned stops by exit code", dict(tally.exit_codes)],
-        ["faults", dict(tally.faults)],
+        ["planned stops by exit code", dict(results.exit_codes)],
+        ["faults", dict(results.faults)],
         ["VIOLATIONS: wrong or mixed answers", counts["wrong or mixed answers"]],
         [
             "VIOLATIONS: non-idempotent runs above one",
-            sum(n > 1 for key, n in tally.run_keys.items() if key in tally.posts),
+            sum(n > 1 for key, n in results.run_keys.items() if key in results.posts),
         ],
-        ["VIOLATIONS: refused as not run, but ran", len(ran_no)],
-        ["VIOLATIONS: requests cut, no kill to blame", counts["cut"]],
+        ["VIOLATIONS: refused as not run, but ran", len(ran_despite_refusal)],
+        ["VIOLATIONS: requests cut without a kill or pause", counts["cut"]],
         ["VIOLATIONS: planned stops that did not exit 0", bad_stops],
-        ["VIOLATIONS: new work 3 s after leaving", tally.late_work],
-        ["VIOLATIONS: overcommitted memory", tally.overcommitted],
-        ["VIOLATIONS: models unreachable at the end", len(tally.unreachable)],
+        ["VIOLATIONS: new work 3 s after leaving", results.late_runs],
+        ["VIOLATIONS: overcommitted memory", results.overcommitted],
+        ["VIOLATIONS: models unreachable at the end", len(results.unreachable)],
     ]
 
 
 def main() -> None:
-    """Soak for SOAK_S seconds (60 unless set) and print every promise."""
-    seconds_s = float(os.environ.get("SOAK_S", "60"))
-    tally: Tally = run_cluster(lambda cluster: _soak(cluster, seconds_s))
-    show(
+    """Soak for SOAK_S seconds (default 60) and print the violations of each rule."""
+    duration_s = float(os.environ.get("SOAK_S", "60"))
+    results: SoakResults = run_cluster(lambda cluster: _soak(cluster, duration_s))
+    write_table(
         f"Soak: {ENTRY_VMS} entry VMs, {ENGINES} engines, {SERVERS} servers, "
-        f"{seconds_s:g} s of faults",
+        f"{duration_s:g} s of faults",
         ("what", "count"),
-        _rows(tally),
+        _rows(results),
     )
-    for message in tally.messages[:10]:
+    for message in results.messages[:10]:
         print("  ", message)
--- a/examples/defer.py
+++ b/examples/defer.py
@@ -1,4 +1,4 @@
-"""Store a request to be run later, and collect its result."""
+"""Defer a request to run later and fetch its result."""
 
 import json
 import time
@@ -9,10 +9,10 @@
 
 
 def call(url: str, body: object = None) -> dict[str, str]:
-    """Make one call and return its JSON."""
+    """Send one request and return its JSON response."""
     data = None if body is None else json.dumps(body).encode()
-    with urlopen(Request(url, data=data, headers=HEADERS)) as answer:
-        return dict(json.load(answer))
+    with urlopen(Request(url, data=data, headers=HEADERS)) as response:
+        return dict(json.load(response))
 
 
 def main() -> None:
@@ -20,12 +20,12 @@
     completion = {"model": "court-rules", "prompt": "tonight", "max_tokens": 8}
     accepted = call(BASE_URL, {"shape": "completion", "body": completion})
     print(accepted)
-    while (found := call(f"{BASE_URL}/{accepted['id']}"))["status"] in (
+    while (result := call(f"{BASE_URL}/{accepted['id']}"))["status"] in (
         "queued",
         "running",
     ):
         time.sleep(0.5)
-    print(json.dumps(found, indent=2))
+    print(json.dumps(result, indent=2))
 
 
 if __name__ == "__main__":
--- a/examples/file_once.py
+++ b/examples/file_once.py
@@ -1,4 +1,4 @@
-"""File a claim under a key, then repeat it: it runs once."""
+"""File a claim twice under one idempotency key; it runs only once."""
 
 import json
 import uuid
@@ -6,7 +6,7 @@
 
 
 def file_claim(key: str) -> dict[str, object]:
-    """Post to the standalone mode's echo service."""
+    """Post a claim to the echo service of the standalone mode."""
     request = Request(
         "http://127.0.0.1:8080/services/echo/claims",
         data=b"claim 17",
@@ -16,13 +16,13 @@
             "Content-Type": "application/octet-stream",
         },
     )
-    with urlopen(request) as answer:
-        print("replayed:", answer.headers.get("Rosepath-Replayed", "no"))
-        return dict(json.load(answer))
+    with urlopen(request) as response:
+        print("replayed:", response.headers.get("Rosepath-Replayed", "no"))
+        return dict(json.load(response))
 
 
 def main() -> None:
-    """File twice under one key and compare."""
+    """File the same claim twice and compare the responses."""
     key = uuid.uuid4().hex
     assert file_claim(key) == file_claim(key)
 
--- a/examples/stream_chat.py
+++ b/examples/stream_chat.py
@@ -4,7 +4,7 @@
 
 
 def main() -> None:
-    """Print the tokens as they come."""
+    """Print the tokens as they arrive."""
     client = openai.OpenAI(api_key="demo-key", base_url="http://127.0.0.1:8080/v1")
     stream = client.chat.completions.create(
         model="court-rules",
