--- a/benchmarks/__init__.py
+++ b/benchmarks/__init__.py
@@ -1,1 +1,1 @@
-"""Benchmarks of real processes on loopback; compare figures of one run only."""
+"""Benchmarks of real processes on loopback; compare within one run only."""
--- a/benchmarks/_private.py
+++ b/benchmarks/_private.py
@@ -34,7 +34,7 @@
 
 
 def run_cluster(work: Callable[[Cluster], Awaitable[Any]]) -> Any:
-    """Run `work` with a cluster in a temporary folder, then stop the cluster."""
+    """Run `work` with a cluster in a temporary folder, then stop it."""
 
     async def run(folder: Path) -> Any:
         cluster = Cluster(folder, deployment="bench")
--- a/benchmarks/capacity.py
+++ b/benchmarks/capacity.py
@@ -1,4 +1,4 @@
-"""Measure memory and time per step with tables of the target deployment's size."""
+"""Measure memory and time per step with tables of the target size."""
 
 import gc
 import random
--- a/benchmarks/control.py
+++ b/benchmarks/control.py
@@ -144,7 +144,7 @@
 
 
 def _propagation_times_s(cluster: Cluster, versions: list[int]) -> list[float]:
-    """Return for each version the time from the first node applying it to the last.
+    """Return the time from the first node to apply a version to the last.
 
     The node that accepts a change applies it at once, so the first time is the
     acceptance. A node may skip a version and apply a newer one.
--- a/benchmarks/demand.py
+++ b/benchmarks/demand.py
@@ -70,7 +70,7 @@
     factor: float
 
     def factor_at(self, now_s: float) -> float:
-        """Return the factor, which ramps over the first and last sixth of the burst."""
+        """Return the factor; it ramps over the first and last sixth."""
         progress = (now_s - self.start_s) / self.length_s
         if not 0 <= progress <= 1:
             return 1.0
--- a/benchmarks/entry_soak.py
+++ b/benchmarks/entry_soak.py
@@ -41,7 +41,7 @@
 CRASHING_WEIGHT = 3
 REQUEST_KINDS = ("look", "file", "draft")
 CHANGES_WEIGHT = 2
-# Probes cover this many of the routes added last, including those dropped since.
+# Probes cover the routes added last, including those dropped since.
 PROBED_ROUTES = 6
 PROBE_INTERVAL_S = 0.1
 SLOW_RESPONSE_S = 0.7
@@ -56,8 +56,8 @@
     """One soak run: its fleet, its callers and the faults injected."""
 
     fleet: EntryFleet
-    # Faults, callers and store faults draw from separate generators, so that the
-    # fault sequence of a seed does not depend on the others.
+    # Faults, callers and store faults draw from separate generators, so that
+    # the fault sequence of a seed does not depend on the others.
     rng: random.Random
     call_rng: random.Random
     store_rng: random.Random
@@ -120,7 +120,7 @@
         pool.close()
 
     async def _probe_routes(self, vm: EntryVm) -> None:
-        """Send one VM requests for routes that were added or dropped recently."""
+        """Send one VM requests for recently added or dropped routes."""
         pool = HttpPool()
         while time.monotonic() < self.ends_s:
             name = self.call_rng.choice(
@@ -246,7 +246,7 @@
         await self._replace_server(announced=False)
 
     async def _replace_server(self, *, announced: bool) -> None:
-        """Remove a server, add another and stop the first after its drain time.
+        """Add a server in place of another, which stops after its drain time.
 
         If `announced`, its responses announce the departure before its entry
         is removed; otherwise only the removed entry shows it.
--- a/benchmarks/placement.py
+++ b/benchmarks/placement.py
@@ -1,4 +1,4 @@
-"""Compare placement policies over one seeded day: demand served against moves."""
+"""Compare placement policies over a seeded day by demand served and moves."""
 
 import random
 import time
@@ -24,7 +24,7 @@
 
 @dataclass(slots=True)
 class FakeEngine:
-    """An engine's models and memory, counted as the engine itself counts them."""
+    """An engine's models and memory, as the engine itself counts them."""
 
     name: str
     memory_bytes: int
@@ -98,7 +98,7 @@
         )
 
     def advance(self) -> None:
-        """Advance the clock by a tick: finish loads, stop and restore engines."""
+        """Advance the clock by a tick; finish loads, stop or restore engines."""
         self.now_s += TICK_S
         for start_s, end_s, name in self._outages:
             engine = self.engines[name]
@@ -204,7 +204,7 @@
     engines: Mapping[str, FakeEngine],
     capacity: Mapping[str, float],
 ) -> dict[str, float]:
-    """Distribute arrivals over the ready engines in small parts, to even the load."""
+    """Distribute arrivals over ready engines in small parts for even load."""
     left = dict(capacity)
     served = dict.fromkeys(rates, 0.0)
     holders = {
@@ -251,7 +251,7 @@
 
 
 def on_demand_policy(fleet: Fleet, view: PlacementView, now_s: float) -> list[Move]:
-    """Add copies of overloaded models; evict the least recently used extra copies."""
+    """Add copies of overloaded models; evict extra copies by LRU."""
     moves = static_policy(fleet, view, now_s)
     if moves:
         return moves
--- a/benchmarks/relay.py
+++ b/benchmarks/relay.py
@@ -73,7 +73,10 @@
 
 
 async def _direct(cluster: Cluster, streams: int) -> tuple[float, float]:
-    """Measure the time to first token straight from the engine, in the same run."""
+    """Measure the time to first token straight from the engine.
+
+    Both figures come from the same run, so that they can be compared.
+    """
     import asyncio
     import json
 
--- a/benchmarks/retries.py
+++ b/benchmarks/retries.py
@@ -1,4 +1,4 @@
-"""Measure the extra runs that retries cause when a third of the replicas fail."""
+"""Measure the extra runs caused by retries if a third of replicas fail."""
 
 import asyncio
 
--- a/benchmarks/routing.py
+++ b/benchmarks/routing.py
@@ -1,4 +1,4 @@
-"""Compare routing policies over real engines whose load reports are delayed."""
+"""Compare routing policies over real engines with delayed load reports."""
 
 import asyncio
 import random
@@ -226,7 +226,7 @@
 
 
 def main() -> None:
-    """Compare the policies under uniform and skewed load, at three report lags."""
+    """Compare the policies under uniform and skewed load and report lags."""
     write_table(
         f"Routing: {ENGINES} engines of {SLOTS} slots, {ROUTERS} routers, "
         f"{RATE_PER_S:g} requests/s",
--- a/benchmarks/soak.py
+++ b/benchmarks/soak.py
@@ -249,7 +249,7 @@
         self.down.discard("engine")
 
     async def _leaving_engine(self) -> None:
-        """Drain an engine, count the runs it still receives, then restart it."""
+        """Drain an engine, count its late runs, then restart it."""
         if "engine" in self.down:
             return
         self.down.add("engine")
@@ -404,7 +404,7 @@
 
 
 def main() -> None:
-    """Soak for SOAK_S seconds (default 60) and print the violations of each rule."""
+    """Soak for SOAK_S seconds (default 60) and print the violations."""
     duration_s = float(os.environ.get("SOAK_S", "60"))
     results: SoakResults = run_cluster(lambda cluster: _soak(cluster, duration_s))
     write_table(
