--- a/benchmarks/capacity.py
+++ b/benchmarks/capacity.py
@@ -100,11 +100,11 @@
 
     def one_change() -> None:
         changed = state.configuration.with_operations(change, version=2)
-        new_head, new = next_head(head, changed, _change(change), ())
+        new_head, new_shards = next_head(head, changed, _change(change), ())
         next_state = ConfigurationState()
         next_state.head, next_state.shards = head, state.shards
         next_state._decoded = state._decoded
-        next_state.apply(new_head, new)
+        next_state.apply(new_head, new_shards)
 
     return [
         ["configuration held", "MB", allocated_mb],
--- a/benchmarks/control.py
+++ b/benchmarks/control.py
@@ -117,14 +117,16 @@
     accepted: dict[int, float] = {}
     for number in range(CHANGES):
         declaration = json.dumps({"concurrency": 100 + number})
-        done = await asyncio.to_thread(
+        result = await asyncio.to_thread(
             cluster.cli, "declare", "limit", "l", declaration, "--output", "json"
         )
-        accepted[int(json.loads(done.stdout)["version"])] = time.time()
+        accepted[int(json.loads(result.stdout)["version"])] = time.time()
     await cluster.until(lambda: _all_applied(cluster, max(accepted)), timeout_s=60)
     elapsed_s = time.perf_counter() - started_s
-    spent = await _store_calls(cluster) - calls - idle_calls * elapsed_s
-    return _propagation_times_s(cluster, list(accepted)), max(0.0, spent) / CHANGES
+    change_calls = await _store_calls(cluster) - calls - idle_calls * elapsed_s
+    return _propagation_times_s(cluster, list(accepted)), max(
+        0.0, change_calls
+    ) / CHANGES
 
 
 def _applied_times(cluster: Cluster, name: str) -> dict[int, float]:
@@ -152,8 +154,8 @@
     logs = [_applied_times(cluster, name) for name in cluster.daemons]
     propagation_s = []
     for version in versions:
-        reached = [min(at for v, at in log.items() if v >= version) for log in logs]
-        propagation_s.append(max(reached) - min(reached))
+        applied_s = [min(at for v, at in log.items() if v >= version) for log in logs]
+        propagation_s.append(max(applied_s) - min(applied_s))
     return propagation_s
 
 
--- a/benchmarks/entry_checks.py
+++ b/benchmarks/entry_checks.py
@@ -122,9 +122,9 @@
         for path, crashes_s in self.fleet.witness.crashes_s.items():
             if len(crashes_s) < 3:
                 continue
-            known_s = crashes_s[2] + RECOVERY_S
+            cutoff_s = crashes_s[2] + RECOVERY_S
             sent = sum(
-                at_s > known_s
+                at_s > cutoff_s
                 and self.fleet.vms[vm].undisturbed(at_s - RECOVERY_S, at_s)
                 for sent_path, vm, at_s in self.fleet.witness.crashing
                 if sent_path == path
@@ -167,12 +167,12 @@
     def _used_older_configuration(
         self, response: CallerResponse, route: AddedRoute
     ) -> bool:
-        known_s = response.sent_s - APPLY_S
-        if route.dropped_s < known_s:
+        cutoff_s = response.sent_s - APPLY_S
+        if route.dropped_s < cutoff_s:
             return self.fleet.witness.runs[response.request_id] > 0
         unknown = response.status == 404 or b"configuration_outdated" in response.body
         return (
-            unknown and route.added_s < known_s and response.ended_s < route.dropping_s
+            unknown and route.added_s < cutoff_s and response.ended_s < route.dropping_s
         )
 
     def _could_have_applied(self, response: CallerResponse) -> bool:
@@ -208,8 +208,10 @@
             no_faults = vm.undisturbed(
                 response.sent_s - RECOVERY_S, response.ended_s + 0.1
             )
-            safe = response.path.startswith("/file/") and arrivals[response.request_id]
-            if response.status == 0 and stopping and no_faults and safe:
+            reached_server = (
+                response.path.startswith("/file/") and arrivals[response.request_id]
+            )
+            if response.status == 0 and stopping and no_faults and reached_server:
                 found.append(f"{response.request_id} {response.path}")
         return found
 
--- a/benchmarks/placement.py
+++ b/benchmarks/placement.py
@@ -98,7 +98,7 @@
         )
 
     def advance(self) -> None:
-        """Advance the clock by a tick; finish loads, stop or restore engines."""
+        """Advance the clock one tick; finish loads, stop or restore engines."""
         self.now_s += TICK_S
         for start_s, end_s, name in self._outages:
             engine = self.engines[name]
@@ -205,19 +205,19 @@
     capacity: Mapping[str, float],
 ) -> dict[str, float]:
     """Distribute arrivals over ready engines in small parts for even load."""
-    left = dict(capacity)
+    remaining = dict(capacity)
     served = dict.fromkeys(rates, 0.0)
     holders = {
-        model: [n for n, e in engines.items() if model in e.ready and n in left]
+        model: [n for n, e in engines.items() if model in e.ready and n in remaining]
         for model in rates
     }
     parts = 12
     for _ in range(parts):
         for model, rate in rates.items():
             portion = rate / parts
-            for name in sorted(holders[model], key=lambda n: -left[n]):
-                taken = min(portion, left[name])
-                left[name] -= taken
+            for name in sorted(holders[model], key=lambda n: -remaining[n]):
+                taken = min(portion, remaining[name])
+                remaining[name] -= taken
                 served[model] += taken
                 portion -= taken
                 if portion <= 1e-12:
@@ -236,8 +236,8 @@
         policy = PlacementPolicy(
             move_cost_s=move_cost_s, demand_copies_allowed=not in_quiet_hours
         )
-        wanted = plan(view, policy)
-        fleet.anchors = dict(wanted.anchors)
+        planned = plan(view, policy)
+        fleet.anchors = dict(planned.anchors)
         return list(plan(replace(view, anchors=fleet.anchors), policy).moves)
 
     return decide
@@ -290,23 +290,23 @@
         return moves
     total = sum(view.demand.values()) or 1.0
     usable = [n for n, e in view.engines.items() if e.usable]
-    left = {n: view.engines[n].memory_bytes for n in usable}
-    wanted: dict[str, set[str]] = {n: set() for n in usable}
+    remaining = {n: view.engines[n].memory_bytes for n in usable}
+    planned: dict[str, set[str]] = {n: set() for n in usable}
     for model, name in fleet.anchors.items():
-        wanted[name].add(model)
-        left[name] -= fleet.sizes[model]
+        planned[name].add(model)
+        remaining[name] -= fleet.sizes[model]
     for model, demand in sorted(view.demand.items(), key=lambda item: -item[1]):
         copies = min(len(usable), round(demand / total * len(usable) * 2))
-        for name in sorted(usable, key=lambda n: -left[n])[: max(0, copies - 1)]:
-            if model not in wanted[name] and left[name] >= fleet.sizes[model]:
-                wanted[name].add(model)
-                left[name] -= fleet.sizes[model]
+        for name in sorted(usable, key=lambda n: -remaining[n])[: max(0, copies - 1)]:
+            if model not in planned[name] and remaining[name] >= fleet.sizes[model]:
+                planned[name].add(model)
+                remaining[name] -= fleet.sizes[model]
     for name in usable:
         ready = view.engines[name].ready
-        gone = sorted(ready - wanted[name])
-        new = sorted(wanted[name] - view.engines[name].targets)
-        moves += [_move(MoveAction.UNLOAD, model, name, fleet) for model in gone]
-        moves += [_move(MoveAction.LOAD, model, name, fleet) for model in new]
+        to_unload = sorted(ready - planned[name])
+        to_load = sorted(planned[name] - view.engines[name].targets)
+        moves += [_move(MoveAction.UNLOAD, model, name, fleet) for model in to_unload]
+        moves += [_move(MoveAction.LOAD, model, name, fleet) for model in to_load]
     return moves
 
 
--- a/benchmarks/relay.py
+++ b/benchmarks/relay.py
@@ -54,19 +54,19 @@
             check=False,
         )
         before = process_usage(daemon.process.pid)
-        through = await run_loads(shape, min(4, streams))
+        relayed = await run_loads(shape, min(4, streams))
         after = process_usage(daemon.process.pid)
         direct = await _direct(cluster, streams)
         cpu_s = after.cpu_s - before.cpu_s
         rows.append(
             [
                 streams,
-                1000 * (percentile(through.first_token_s, 0.5) - direct[0]),
-                1000 * (percentile(through.first_token_s, 0.99) - direct[1]),
-                1e6 * cpu_s / max(1, through.tokens),
-                1000 * cpu_s / max(1, through.whole),
-                through.tokens / max(1e-9, cpu_s),
-                through.wrong + through.broken + sum(through.refused.values()),
+                1000 * (percentile(relayed.first_token_s, 0.5) - direct[0]),
+                1000 * (percentile(relayed.first_token_s, 0.99) - direct[1]),
+                1e6 * cpu_s / max(1, relayed.tokens),
+                1000 * cpu_s / max(1, relayed.whole),
+                relayed.tokens / max(1e-9, cpu_s),
+                relayed.wrong + relayed.broken + sum(relayed.refused.values()),
             ]
         )
     return rows
@@ -162,9 +162,9 @@
         check=False,
     )
     before = process_usage(daemon.process.pid)
-    through = await run_loads(shape, 4)
+    relayed = await run_loads(shape, 4)
     cpu_s = process_usage(daemon.process.pid).cpu_s - before.cpu_s
-    return [[4, 1e6 * cpu_s / max(1, through.tokens)]]
+    return [[4, 1e6 * cpu_s / max(1, relayed.tokens)]]
 
 
 async def _memory_and_start(cluster: Cluster) -> list[list[object]]:
--- a/benchmarks/routing.py
+++ b/benchmarks/routing.py
@@ -192,14 +192,16 @@
             asyncio.ensure_future(_send_request(router, backend, choose, prompt()))
         )
         next_s += rng.expovariate(RATE_PER_S)
-    firsts = await asyncio.gather(*sent)
+    results = await asyncio.gather(*sent)
     for task in pollers:
         task.cancel()
     after = await _cache_hits(cluster)
-    first_token_s = [value for value in firsts if value is not None]
-    within = sum(value <= TARGET_S for value in first_token_s) / len(firsts)
+    first_token_s = [value for value in results if value is not None]
+    share_within_target = sum(value <= TARGET_S for value in first_token_s) / len(
+        results
+    )
     hits = (after["hits"] - before["hits"]) / (after["lookups"] - before["lookups"])
-    return within, percentile(first_token_s, 0.99), hits
+    return share_within_target, percentile(first_token_s, 0.99), hits
 
 
 async def _compare(cluster: Cluster) -> Sequence[Sequence[object]]:
@@ -217,11 +219,11 @@
     for skewed in (False, True):
         for lag_s in LAGS_S:
             for name, choose in POLICIES.items():
-                within, p99_s, hits = await _run_policy(
+                share_within_target, p99_s, hits = await _run_policy(
                     cluster, choose, skewed=skewed, lag_s=lag_s
                 )
                 shape = "skewed" if skewed else "uniform"
-                rows.append([shape, lag_s, name, within, p99_s, hits])
+                rows.append([shape, lag_s, name, share_within_target, p99_s, hits])
     return rows
 
 
