--- a/src/rosepath/http_client.py
+++ b/src/rosepath/http_client.py
@@ -1,8 +1,10 @@
-"""Pooled HTTP/1.1 exchanges that know whether a byte of a request was sent.
+"""Send HTTP/1.1 requests over pooled connections.
 
-Tornado's client hides that, keeps no connections, and takes three reads a
-chunk. The promise in a refusal ("was not run") needs the first; the cost of a
-relayed token the last. docs/design/http-client.md has the measurements.
+Tornado's HTTP client does not report whether any byte of a request was sent,
+keeps no connections open, and needs three reads per chunk. A refusal may only
+state that the request was not run if no byte was sent, and the reads per chunk
+determine the cost of a relayed token. docs/design/http-client.md has the
+measurements.
 """
 
 import asyncio
@@ -17,30 +19,30 @@
 from rosepath.clock import Clock, SystemClock
 from rosepath.errors import ExchangeError, Step
 from rosepath.http_exchange import (
-    Accepts,
     Connection,
     Exchange,
     OnData,
     OnHead,
+    ResponseFilter,
     ResponseHead,
     Watchdog,
 )
 
 MAX_IDLE_PER_PEER = 64
 MAX_IDLE_S = 30.0
-# A peer that states a shorter idle time closes on its own clock; half a second
-# before that, a request could cross its close.
+# A peer that announces a shorter idle timeout closes the connection by its own
+# clock. The margin avoids sending a request while the peer closes.
 IDLE_MARGIN_S = 0.5
-# A machine without power or behind a partition acknowledges nothing. Without
-# a bound of its own the kernel would go on for many minutes.
-UNACKNOWLEDGED_MS = 1500
+# A host that lost power or is behind a network partition acknowledges nothing.
+# By default, the kernel retransmits for many minutes before it gives up.
+TCP_USER_TIMEOUT_MS = 1500
 KEEPALIVE_IDLE_S = 1
 
 __all__ = ["Contact", "HttpPool", "Request", "ResponseHead"]
 
 
 class Contact(StrEnum):
-    """Say what an address does with a new connection."""
+    """Enumerate the results of trying to connect to an address."""
 
     ACCEPTED = "accepted"
     REFUSED = "refused"
@@ -49,7 +51,7 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class Request:
-    """Describe one request to one peer."""
+    """Describe one HTTP request and its timeouts."""
 
     address: str
     method: str
@@ -62,15 +64,18 @@
     pause_timeout_s: float | None = None
     proven_live_within_s: float | None = None
     host: str | None = None
-    accepts: Accepts | None = None
-    # Asked once the connection is there, right before the first byte goes out.
+    accepts: ResponseFilter | None = None
+    # Called once connected, before the first byte is sent; False cancels.
     still_wanted: Callable[[], bool] = lambda: True
-    # Asked before a silent exchange is broken off.
+    # Called when an inactivity timeout expires; False restarts it.
     may_break_off: Callable[[], bool] = lambda: True
 
 
 class HttpPool:
-    """Keep connections to peers and run exchanges over them."""
+    """Own the idle connections to all peers and run exchanges over them.
+
+    Whoever creates a pool closes it.
+    """
 
     def __init__(self, *, clock: Clock | None = None) -> None:
         self._clock = clock or SystemClock()
@@ -83,13 +88,13 @@
                 connection.close()
         self._idle.clear()
 
-    def forget(self, address: str) -> None:
-        """Drop idle connections to a peer whose connections went silent."""
+    def drop_idle(self, address: str) -> None:
+        """Close all idle connections to a peer."""
         for connection in self._idle.pop(address, []):
             connection.close()
 
     async def fetch(self, request: Request) -> tuple[ResponseHead, bytes]:
-        """Run an exchange and collect its whole answer."""
+        """Run an exchange and return the complete response."""
         chunks: list[bytes] = []
         head = await self.exchange(
             request, on_head=lambda _: None, on_data=chunks.append
@@ -99,12 +104,12 @@
     async def exchange(
         self, request: Request, *, on_head: OnHead, on_data: OnData
     ) -> ResponseHead:
-        """Run an exchange, passing the answer on with backpressure.
+        """Run an exchange and pass the response on with backpressure.
 
-        Raises ExchangeError if it does not complete; an exception of
-        `on_head` or `on_data` closes the connection and is raised as it is.
+        Raise ExchangeError if the exchange does not complete. An exception
+        raised by `on_head` or `on_data` closes the connection and propagates.
         """
-        connection, reused = await self._connection_for(request)
+        connection, reused = await self._acquire(request)
         if not request.still_wanted():
             connection.close()
             raise ExchangeError(
@@ -122,14 +127,14 @@
         try:
             head = await self._run(request, connection, exchange)
             if exchange.reusable and not connection.closed:
-                self._put_back(request.address, connection)
+                self._release(request.address, connection)
                 returned = True
             return head
         except ExchangeError as error:
             if error.timed_out and reused:
-                # Whatever silenced this connection (a forgetful firewall,
-                # say) has most likely silenced its idle siblings too.
-                self.forget(request.address)
+                # The cause, such as a firewall that dropped its connection
+                # state, most likely affects the other idle connections too.
+                self.drop_idle(request.address)
             raise
         finally:
             connection.exchange = None
@@ -137,9 +142,9 @@
                 connection.close()
 
     async def probe(self, address: str, *, limit_s: float) -> Contact:
-        """Find out whether somebody listens at an address.
+        """Test whether an address accepts connections.
 
-        A connection that comes about is kept for the next request.
+        An accepted connection is kept for the next request.
         """
         request = Request(
             address=address, method="GET", path="/", connect_timeout_s=limit_s
@@ -148,22 +153,22 @@
             connection = await self._connect(request)
         except ExchangeError as error:
             return Contact.UNKNOWN if error.timed_out else Contact.REFUSED
-        self._put_back(address, connection)
+        self._release(address, connection)
         return Contact.ACCEPTED
 
-    async def _connection_for(self, request: Request) -> tuple[Connection, bool]:
+    async def _acquire(self, request: Request) -> tuple[Connection, bool]:
         now_s = self._clock.monotonic_s()
         idle = self._idle[request.address]
         limit_s = request.proven_live_within_s
         fresh_s = MAX_IDLE_S if limit_s is None else min(limit_s, MAX_IDLE_S)
         while idle:
             connection = idle.pop()
-            age_s = now_s - connection.last_answer_s
+            age_s = now_s - connection.last_response_s
             if connection.closed:
                 continue
-            if age_s <= min(fresh_s, connection.idle_limit_s):
+            if age_s <= min(fresh_s, connection.max_idle_s):
                 return connection, True
-            if age_s <= min(MAX_IDLE_S, connection.idle_limit_s):
+            if age_s <= min(MAX_IDLE_S, connection.max_idle_s):
                 idle.append(connection)
                 break
             connection.close()
@@ -185,16 +190,16 @@
                 sent=False,
                 timed_out=isinstance(error, TimeoutError),
             ) from error
-        _bound_silence(connection)
+        _set_keepalive(connection)
         return connection
 
-    def _put_back(self, address: str, connection: Connection) -> None:
+    def _release(self, address: str, connection: Connection) -> None:
         idle = self._idle[address]
         if len(idle) >= MAX_IDLE_PER_PEER:
             connection.close()
             return
-        connection.last_answer_s = self._clock.monotonic_s()
-        connection.idle_limit_s = max(0.0, connection.stated_idle_s - IDLE_MARGIN_S)
+        connection.last_response_s = self._clock.monotonic_s()
+        connection.max_idle_s = max(0.0, connection.peer_idle_timeout_s - IDLE_MARGIN_S)
         idle.append(connection)
 
     async def _run(
@@ -204,7 +209,7 @@
             connection,
             exchange,
             request.progress_timeout_s,
-            pause_s=request.pause_timeout_s,
+            pause_timeout_s=request.pause_timeout_s,
             may_close=request.may_break_off,
         )
         try:
@@ -218,10 +223,10 @@
             watchdog.stop()
         if exchange.failure is not None:
             if isinstance(exchange.failure, httptools.HttpParserError):
-                raise self._broken(request, exchange, watchdog, "cannot be parsed")
+                raise self._failure(request, exchange, watchdog, "cannot be parsed")
             raise exchange.failure
         if exchange.head is None or not exchange.finished:
-            raise self._broken(request, exchange, watchdog, "closed early", lost=True)
+            raise self._failure(request, exchange, watchdog, "closed early", lost=True)
         return exchange.head
 
     async def _send_chunks(
@@ -233,24 +238,24 @@
     ) -> None:
         async for chunk in chunks:
             connection.write(b"%x\r\n%s\r\n" % (len(chunk), chunk))
-            await connection.drained()
-            watchdog.touch()
+            await connection.drain()
+            watchdog.note_progress()
             if exchange.done.done():
                 return
         connection.write(b"0\r\n\r\n")
-        watchdog.touch()
+        watchdog.note_progress()
 
-    def _broken(
+    def _failure(
         self,
         request: Request,
         exchange: Exchange,
         watchdog: Watchdog,
-        how: str,
+        problem: str,
         *,
         lost: bool = False,
     ) -> ExchangeError:
         return ExchangeError(
-            "peer went silent" if watchdog.fired else f"answer {how}",
+            "peer went silent" if watchdog.fired else f"answer {problem}",
             step=Step.ANSWER if exchange.head else Step.SEND,
             peer=request.address,
             sent=True,
@@ -260,15 +265,15 @@
         )
 
 
-def _bound_silence(connection: Connection) -> None:
-    """Have the kernel give up a connection whose peer acknowledges nothing."""
+def _set_keepalive(connection: Connection) -> None:
+    """Make the kernel close a connection whose peer acknowledges nothing."""
     assert connection.transport is not None
     sock = connection.transport.get_extra_info("socket")
     sock.setsockopt(socket.SOL_SOCKET, socket.SO_KEEPALIVE, 1)
     sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPIDLE, KEEPALIVE_IDLE_S)
     sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPINTVL, KEEPALIVE_IDLE_S)
     sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPCNT, 2)
-    sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, UNACKNOWLEDGED_MS)
+    sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, TCP_USER_TIMEOUT_MS)
 
 
 def _encode_head(request: Request) -> bytes:
--- a/src/rosepath/http_exchange.py
+++ b/src/rosepath/http_exchange.py
@@ -1,4 +1,4 @@
-"""One HTTP/1.1 exchange on one connection, read with llhttp."""
+"""Run one HTTP/1.1 exchange on a connection, parsed with llhttp."""
 
 import asyncio
 import math
@@ -11,34 +11,35 @@
 from tornado.httputil import HTTPHeaders
 
 MAX_HEADER_BYTES = 64 * 1024
-# Linger on, for 0 s: the kernel drops what is unsent and resets the connection.
+# SO_LINGER of 0 s: on close, the kernel discards unsent data and resets the
+# connection.
 NO_LINGER = struct.pack("ii", 1, 0)
 
 OnData = Callable[[bytes], Awaitable[None] | None]
 
 
 class ResponseHead(NamedTuple):
-    """Hold the status and headers of an answer."""
+    """Hold the status and headers of a response."""
 
     status: int
     headers: HTTPHeaders
 
 
 OnHead = Callable[[ResponseHead], None]
-Accepts = Callable[[ResponseHead], bool]
+ResponseFilter = Callable[[ResponseHead], bool]
 
 
 class Connection(asyncio.Protocol):
-    """Hold one connection and the exchange that runs on it, if any."""
+    """Own one connection and reference the exchange running on it, if any."""
 
     def __init__(self) -> None:
         self.transport: asyncio.Transport | None = None
         self.exchange: Exchange | None = None
         self.closed = False
-        self.ended_by_peer = False
-        self.last_answer_s = 0.0
-        self.stated_idle_s = math.inf
-        self.idle_limit_s = math.inf
+        self.closed_by_peer = False
+        self.last_response_s = 0.0
+        self.peer_idle_timeout_s = math.inf
+        self.max_idle_s = math.inf
         self._writable = asyncio.Event()
         self._writable.set()
 
@@ -48,18 +49,18 @@
 
     def data_received(self, data: bytes) -> None:
         if self.exchange is None:
-            # Nothing was asked: whatever this is, no later answer on this
-            # connection could be trusted to belong to its request.
+            # No request is outstanding. After unexpected data, responses on
+            # this connection can no longer be matched to their requests.
             self.close()
         else:
-            self.exchange.take(data)
+            self.exchange.feed(data)
 
     def connection_lost(self, error: Exception | None) -> None:
-        self.ended_by_peer = error is None and not self.closed
+        self.closed_by_peer = error is None and not self.closed
         self.closed = True
         self._writable.set()
         if self.exchange is not None:
-            self.exchange.lose()
+            self.exchange.handle_connection_lost()
 
     def pause_writing(self) -> None:
         self._writable.clear()
@@ -68,12 +69,12 @@
         self._writable.set()
 
     def write(self, data: bytes) -> None:
-        """Hand bytes to the transport."""
+        """Write bytes to the transport unless the connection is closed."""
         if self.transport is not None and not self.closed:
             self.transport.write(data)
 
-    async def drained(self) -> None:
-        """Wait until the transport takes more."""
+    async def drain(self) -> None:
+        """Wait until the transport's write buffer has room."""
         await self._writable.wait()
 
     def pause_reading(self) -> None:
@@ -85,7 +86,7 @@
             self.transport.resume_reading()
 
     def reset(self) -> None:
-        """Close at once, and keep the kernel from sending what it still holds."""
+        """Close immediately and discard data in the kernel's send buffer."""
         if self.transport is not None and not self.closed:
             sock = self.transport.get_extra_info("socket")
             if sock is not None:
@@ -93,14 +94,18 @@
         self.close()
 
     def close(self) -> None:
-        """Close at once; nothing that is still buffered matters."""
+        """Close immediately and discard data in the transport's buffer."""
         self.closed = True
         if self.transport is not None:
             self.transport.abort()
 
 
 class Exchange:
-    """Hold one answer as it arrives; the parser calls the `on_` methods."""
+    """Track one response as it arrives.
+
+    The parser calls the `on_` methods. `done` is set when the exchange
+    completes or fails.
+    """
 
     def __init__(
         self,
@@ -109,7 +114,7 @@
         on_head: OnHead,
         on_data: OnData,
         *,
-        accepts: Accepts | None = None,
+        accepts: ResponseFilter | None = None,
     ) -> None:
         self.done: asyncio.Future[None] = asyncio.get_running_loop().create_future()
         self.head: ResponseHead | None = None
@@ -119,31 +124,31 @@
         self.consumer_busy = False
         self.on_response_start: Callable[[], None] | None = None
         self._keep_alive = False
-        self._surplus = False
-        self._stray = False
+        self._is_extra = False
+        self._is_rejected = False
         self._accepts = accepts
         self._connection = connection
-        self._bodiless = method == "HEAD"
+        self._is_head_request = method == "HEAD"
         self._on_head = on_head
         self._on_data = on_data
         self._headers = HTTPHeaders()
         self._header_bytes = 0
-        self._arrived: list[bytes] = []
+        self._body_parts: list[bytes] = []
         self._parser = httptools.HttpResponseParser(self)
 
     # Called by the parser
 
     def on_message_begin(self) -> None:
-        # Another answer right behind the first: it belongs to no request of
-        # this exchange, so it is skipped and the connection not used again.
-        self._surplus = self.finished
-        if self._stray:
-            self._stray = False
+        # A second response belongs to no request of this exchange. It is
+        # skipped, and the connection is not reused.
+        self._is_extra = self.finished
+        if self._is_rejected:
+            self._is_rejected = False
             self._headers = HTTPHeaders()
             self._header_bytes = 0
 
     def on_header(self, name: bytes, value: bytes) -> None:
-        if self._surplus:
+        if self._is_extra:
             return
         self._header_bytes += len(name) + len(value)
         if self._header_bytes > MAX_HEADER_BYTES:
@@ -151,7 +156,7 @@
         self._headers.add(name.decode("latin1"), value.decode("latin1"))
 
     def on_headers_complete(self) -> None:
-        if self._surplus:
+        if self._is_extra:
             return
         status = self._parser.get_status_code()
         if status < 200:
@@ -159,31 +164,31 @@
             return
         head = ResponseHead(status, self._headers)
         if self._accepts is not None and not self._accepts(head):
-            # A late answer to an earlier request of this connection: passed
-            # on, it would be another caller's. The own answer may follow.
-            self._stray = True
+            # A late response to an earlier request on this connection may
+            # belong to another caller. This request's response may follow.
+            self._is_rejected = True
             return
         self.head = head
         if self.on_response_start is not None:
             self.on_response_start()
-        self._connection.stated_idle_s = _stated_idle_s(self._headers)
+        self._connection.peer_idle_timeout_s = _peer_idle_timeout_s(self._headers)
         self._on_head(self.head)
-        if self._bodiless:
+        if self._is_head_request:
             self.finished = True
 
     def on_body(self, body: bytes) -> None:
-        if not self._surplus and not self._stray:
-            self._arrived.append(body)
+        if not self._is_extra and not self._is_rejected:
+            self._body_parts.append(body)
 
     def on_message_complete(self) -> None:
-        if self.head is not None and not self._surplus:
+        if self.head is not None and not self._is_extra:
             self.finished = True
             self._keep_alive = self._parser.should_keep_alive()
 
     # Called by the connection
 
-    def take(self, data: bytes) -> None:
-        """Parse bytes and pass on, as one, the parts of the body in them."""
+    def feed(self, data: bytes) -> None:
+        """Parse received bytes and deliver their body data as one chunk."""
         self.progress += 1
         try:
             self._parser.feed_data(data)
@@ -191,36 +196,36 @@
             self._fail(error.__context__ or error)
             return
         except httptools.HttpParserError as error:
-            if not (self.finished and self._bodiless):
+            if not (self.finished and self._is_head_request):
                 self._fail(error)
                 return
-        self._pass_on()
+        self._deliver_body()
 
-    def _pass_on(self) -> None:
-        if self._arrived:
-            arrived = self._arrived
+    def _deliver_body(self) -> None:
+        if self._body_parts:
+            arrived = self._body_parts
             data = arrived[0] if len(arrived) == 1 else b"".join(arrived)
-            self._arrived = []
+            self._body_parts = []
             try:
-                waiting = self._on_data(data)
+                pending = self._on_data(data)
             except BaseException as error:
                 self._fail(error)
                 return
-            if waiting is not None:
-                self._hold_back(waiting)
+            if pending is not None:
+                self._pause_until(pending)
                 return
         if self.finished:
-            self._end()
+            self._complete()
 
-    def _hold_back(self, waiting: Awaitable[None]) -> None:
-        # A slow consumer must not look like a silent peer: the progress
-        # deadline is suspended while the consumer holds the answer back.
+    def _pause_until(self, pending: Awaitable[None]) -> None:
+        # The inactivity timeout is suspended while the consumer applies
+        # backpressure, so that a slow consumer does not cause a timeout.
         self.consumer_busy = True
         self._connection.pause_reading()
-        task = asyncio.ensure_future(waiting)
-        task.add_done_callback(self._consumed)
+        task = asyncio.ensure_future(pending)
+        task.add_done_callback(self._consumer_done)
 
-    def _consumed(self, task: asyncio.Future[None]) -> None:
+    def _consumer_done(self, task: asyncio.Future[None]) -> None:
         self.consumer_busy = False
         self.progress += 1
         if task.cancelled() or task.exception() is not None:
@@ -229,49 +234,49 @@
             return
         self._connection.resume_reading()
         if self.finished or self._connection.closed:
-            self._end()
+            self._complete()
 
-    def lose(self) -> None:
-        """Note that the connection is gone."""
+    def handle_connection_lost(self) -> None:
+        """Complete the exchange, unless the consumer is still busy."""
         if not self.consumer_busy:
-            self._end()
+            self._complete()
 
     def _fail(self, error: BaseException) -> None:
         self.failure = error
         self._connection.close()
-        self._end()
+        self._complete()
 
-    def _end(self) -> None:
+    def _complete(self) -> None:
         if (
-            self._connection.ended_by_peer
+            self._connection.closed_by_peer
             and self.head is not None
             and not says_its_end(self._headers)
         ):
-            # Without a length, the peer's close itself ends the answer; a
-            # reset, or a close of our own, leaves it incomplete.
+            # Without a length, an orderly close by the peer ends the
+            # response. After a reset or a local close, it is incomplete.
             self.finished = True
         if not self.done.done():
             self.done.set_result(None)
 
     @property
     def reusable(self) -> bool:
-        """Tell whether the next request may use this connection."""
+        """Return whether the connection may be used for another request."""
         return (
             self.finished
-            and not self._surplus
-            and not self._bodiless
+            and not self._is_extra
+            and not self._is_head_request
             and says_its_end(self._headers)
             and self._keep_alive
         )
 
 
 def says_its_end(headers: HTTPHeaders) -> bool:
-    """Tell whether an answer ends by itself, and not with its connection."""
+    """Return whether the headers delimit the response's body."""
     return "Content-Length" in headers or "Transfer-Encoding" in headers
 
 
-def _stated_idle_s(headers: HTTPHeaders) -> float:
-    """Return how long the peer says it keeps an idle connection."""
+def _peer_idle_timeout_s(headers: HTTPHeaders) -> float:
+    """Return the idle timeout that the peer announces in Keep-Alive."""
     for part in headers.get("Keep-Alive", "").split(","):
         name, _, value = part.strip().partition("=")
         if name.lower() == "timeout" and value.isdigit():
@@ -280,44 +285,46 @@
 
 
 class Watchdog:
-    """Close a connection on which nothing moved for a while.
+    """Close a connection after a period without progress.
 
-    Some middlebox may forget a connection: both ends keep it open, yet
-    nothing arrives, and a caller would wait for ever. Closing wakes the
-    reader, whatever it waits for. `may_close` is asked before, and again after
-    each further silence while it says no.
+    A middlebox may drop its connection state: both ends keep the connection
+    open, nothing arrives, and the caller would wait forever. When the timeout
+    expires, `may_close` is called; while it returns False, the timeout starts
+    again.
     """
 
     def __init__(
         self,
         connection: Connection,
         exchange: Exchange,
-        silence_s: float,
+        timeout_s: float,
         *,
-        pause_s: float | None = None,
+        pause_timeout_s: float | None = None,
         may_close: Callable[[], bool] = lambda: True,
     ) -> None:
         self.fired = False
         self._may_close = may_close
         self._connection = connection
         self._exchange = exchange
-        self._silence_s = silence_s
-        self._pause_s = silence_s if pause_s is None else pause_s
-        self._seen = 0
+        self._timeout_s = timeout_s
+        self._pause_timeout_s = (
+            timeout_s if pause_timeout_s is None else pause_timeout_s
+        )
+        self._last_progress = 0
         self._loop = asyncio.get_running_loop()
-        self._timer = self._loop.call_later(silence_s, self._check)
-        exchange.on_response_start = self._answer_began
+        self._timer = self._loop.call_later(timeout_s, self._check)
+        exchange.on_response_start = self._start_pause_timer
 
-    def _answer_began(self) -> None:
-        """Watch at the pace of pauses from the first byte on."""
-        if self._pause_s < self._silence_s:
+    def _start_pause_timer(self) -> None:
+        """Apply the pause timeout from the response's head on."""
+        if self._pause_timeout_s < self._timeout_s:
             self._timer.cancel()
-            self._seen = self._exchange.progress
-            self._timer = self._loop.call_later(self._pause_s, self._check)
-        self._silence_s = self._pause_s
+            self._last_progress = self._exchange.progress
+            self._timer = self._loop.call_later(self._pause_timeout_s, self._check)
+        self._timeout_s = self._pause_timeout_s
 
-    def touch(self) -> None:
-        self._seen = -1
+    def note_progress(self) -> None:
+        self._last_progress = -1
 
     def stop(self) -> None:
         self._timer.cancel()
@@ -326,13 +333,15 @@
         exchange = self._exchange
         if exchange.done.done():
             return
-        silent = self._seen == exchange.progress and not exchange.consumer_busy
-        if silent and self._may_close():
+        inactive = (
+            self._last_progress == exchange.progress and not exchange.consumer_busy
+        )
+        if inactive and self._may_close():
             self.fired = True
-            # Merely closed, the kernel would go on sending over a slow link, and a
-            # request that counts as given up would be carried out all the same.
+            # After a plain close, the kernel would continue to send over a
+            # slow link, and the peer could run a request reported as failed.
             self._connection.reset()
-            exchange.lose()
+            exchange.handle_connection_lost()
             return
-        self._seen = exchange.progress
-        self._timer = self._loop.call_later(self._silence_s, self._check)
+        self._last_progress = exchange.progress
+        self._timer = self._loop.call_later(self._timeout_s, self._check)
--- a/tests/test_http_client.py
+++ b/tests/test_http_client.py
@@ -1,4 +1,4 @@
-"""The pool keeps connections, knows what was sent, and never hangs."""
+"""Test connection reuse, failure reporting and timeouts of the HTTP pool."""
 
 import asyncio
 from collections.abc import AsyncIterator, Awaitable, Callable
@@ -14,7 +14,7 @@
 
 
 class Server:
-    """Serve raw bytes and count connections."""
+    """Serve raw bytes with a handler and count the connections."""
 
     def __init__(self, handler: Handler) -> None:
         self.connections = 0
@@ -45,34 +45,34 @@
         return Request(address=self.address, **{**given, **fields})
 
 
-def answering(*answers: bytes) -> Handler:
+def respond_with(*responses: bytes) -> Handler:
     async def handle(
         reader: asyncio.StreamReader, writer: asyncio.StreamWriter
     ) -> None:
-        for answer in answers:
+        for response in responses:
             await reader.readuntil(b"\r\n\r\n")
-            writer.write(answer)
+            writer.write(response)
             await writer.drain()
 
     return handle
 
 
-async def stay_silent(
+async def send_nothing(
     reader: asyncio.StreamReader, writer: asyncio.StreamWriter
 ) -> None:
     await reader.readuntil(b"\r\n\r\n")
     await reader.read()
 
 
-async def idle_closed(pool: HttpPool, server: Server) -> None:
-    """Wait until the pool knows that its idle connection is closed."""
+async def wait_idle_closed(pool: HttpPool, server: Server) -> None:
+    """Wait until the pool's idle connections to the server are closed."""
     while not all(c.closed for c in pool._idle[server.address]):  # noqa: ASYNC110
         await asyncio.sleep(0)
 
 
-def test_a_connection_is_kept_and_used_again() -> None:
+def test_a_connection_is_reused() -> None:
     async def run() -> None:
-        async with Server(answering(OK, OK, OK)) as server:
+        async with Server(respond_with(OK, OK, OK)) as server:
             pool = HttpPool()
             for _ in range(3):
                 assert (await pool.fetch(server.request()))[1] == b"ok"
@@ -82,13 +82,13 @@
     asyncio.run(run())
 
 
-def test_a_chunked_answer_keeps_its_connection() -> None:
+def test_the_connection_is_reused_after_a_chunked_response() -> None:
     chunked = (
         b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nok\r\n0\r\n\r\n"
     )
 
     async def run() -> None:
-        async with Server(answering(chunked, chunked)) as server:
+        async with Server(respond_with(chunked, chunked)) as server:
             pool = HttpPool()
             for _ in range(2):
                 assert (await pool.fetch(server.request()))[1] == b"ok"
@@ -98,10 +98,10 @@
     asyncio.run(run())
 
 
-def test_an_old_connection_is_not_taken_for_what_may_run_once() -> None:
+def test_a_connection_idle_for_too_long_is_not_reused() -> None:
     async def run() -> None:
         clock = ManualClock()
-        async with Server(answering(OK, OK)) as server:
+        async with Server(respond_with(OK, OK)) as server:
             pool = HttpPool(clock=clock)
             await pool.fetch(server.request())
             clock.advance(2.0)
@@ -112,12 +112,12 @@
     asyncio.run(run())
 
 
-def test_a_connection_closed_while_idle_is_not_used() -> None:
+def test_a_connection_closed_while_idle_is_not_reused() -> None:
     async def run() -> None:
-        async with Server(answering(OK)) as server:
+        async with Server(respond_with(OK)) as server:
             pool = HttpPool()
             await pool.fetch(server.request())
-            await idle_closed(pool, server)
+            await wait_idle_closed(pool, server)
             assert (await pool.fetch(server.request()))[1] == b"ok"
             pool.close()
 
@@ -125,7 +125,7 @@
 
 
 @pytest.mark.parametrize(
-    ("answer", "answered"),
+    ("response", "answered"),
     [
         (b"", False),
         (b"HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nhalf", True),
@@ -134,9 +134,11 @@
         (b"HTTP/1.1 200 OK\r\nX: " + b"a" * 100_000 + b"\r\n\r\n", False),
     ],
 )
-def test_half_or_broken_answers_are_failures(answer: bytes, answered: bool) -> None:
+def test_incomplete_or_malformed_responses_raise(
+    response: bytes, answered: bool
+) -> None:
     async def run() -> None:
-        async with Server(answering(answer)) as server:
+        async with Server(respond_with(response)) as server:
             with pytest.raises((ExchangeError, ValueError)) as failure:
                 await HttpPool().fetch(server.request())
             if isinstance(failure.value, ExchangeError):
@@ -146,9 +148,9 @@
     asyncio.run(run())
 
 
-def test_a_refused_connection_sent_nothing() -> None:
+def test_a_refused_connection_is_reported_as_not_sent() -> None:
     async def run() -> None:
-        async with Server(answering(OK)) as server:
+        async with Server(respond_with(OK)) as server:
             request = server.request()
         with pytest.raises(ExchangeError) as failure:
             await HttpPool().fetch(request)
@@ -157,9 +159,9 @@
     asyncio.run(run())
 
 
-def test_a_silent_peer_is_left_within_its_deadline() -> None:
+def test_a_peer_that_sends_nothing_causes_a_timeout() -> None:
     async def run() -> None:
-        async with Server(stay_silent) as server:
+        async with Server(send_nothing) as server:
             with pytest.raises(ExchangeError) as failure:
                 await HttpPool().fetch(server.request())
             assert failure.value.timed_out
@@ -168,12 +170,12 @@
     asyncio.run(run())
 
 
-def test_a_slow_consumer_holds_the_peer_back_and_is_no_silence() -> None:
+def test_a_slow_consumer_causes_no_timeout() -> None:
     size = 4_000_000
     big = b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n" % size
 
     async def run() -> None:
-        async with Server(answering(big + b"x" * size)) as server:
+        async with Server(respond_with(big + b"x" * size)) as server:
             taken = 0
 
             async def consume(data: bytes) -> None:
@@ -190,7 +192,7 @@
     asyncio.run(run())
 
 
-def test_a_consumers_failure_is_raised_as_it_is() -> None:
+def test_an_exception_of_the_consumer_propagates() -> None:
     class ConsumerError(Exception):
         pass
 
@@ -198,7 +200,7 @@
         raise ConsumerError
 
     async def run() -> None:
-        async with Server(answering(OK)) as server:
+        async with Server(respond_with(OK)) as server:
             with pytest.raises(ConsumerError):
                 await HttpPool().exchange(
                     server.request(), on_head=lambda _: None, on_data=fail
@@ -226,14 +228,14 @@
     assert received.endswith(b"3\r\none\r\n3\r\ntwo\r\n0\r\n\r\n")
 
 
-def test_an_answer_that_nobody_asked_for_closes_the_connection() -> None:
-    # A second answer arrives on an idle connection; were it kept, the next
-    # request would get somebody else's answer.
+def test_an_unsolicited_response_closes_the_connection() -> None:
+    # If the connection were reused after a second response, the next request
+    # would get a response that is not its own.
     async def run() -> None:
-        async with Server(answering(OK + OK, OK)) as server:
+        async with Server(respond_with(OK + OK, OK)) as server:
             pool = HttpPool()
             await pool.fetch(server.request())
-            await idle_closed(pool, server)
+            await wait_idle_closed(pool, server)
             await pool.fetch(server.request())
             assert server.connections == 2
             pool.close()
@@ -243,17 +245,17 @@
 
 def test_a_header_with_a_line_break_is_not_sent() -> None:
     async def run() -> None:
-        async with Server(answering(OK)) as server:
+        async with Server(respond_with(OK)) as server:
             with pytest.raises(ValueError, match="line break"):
                 await HttpPool().fetch(server.request(headers={"a": "b\r\nc: d"}))
 
     asyncio.run(run())
 
 
-def test_what_is_no_longer_wanted_once_connected_is_not_sent() -> None:
-    # A holder of a lease is suspended while it connects to an engine, and wakes
-    # after the lease went to another. The order was checked before it
-    # connected, went out after, and the engine saw two masters.
+def test_a_request_cancelled_while_connecting_is_not_sent() -> None:
+    # A lease holder that is suspended while it connects to an engine may
+    # resume after another VM acquired the lease. If the order were checked
+    # only before connecting, the engine would get orders from two holders.
     async def run() -> None:
         read: list[bytes] = []
         done = asyncio.Event()
@@ -276,10 +278,10 @@
     asyncio.run(run())
 
 
-def test_a_probe_tells_who_listens_and_its_connection_is_used_again() -> None:
+def test_a_probe_detects_a_listener_and_its_connection_is_reused() -> None:
     async def run() -> None:
         pool = HttpPool(clock=ManualClock())
-        async with Server(answering(OK)) as server:
+        async with Server(respond_with(OK)) as server:
             contact = await pool.probe(server.address, limit_s=1.0)
             assert contact is Contact.ACCEPTED
             await pool.fetch(server.request())
--- a/tests/test_idle_connections.py
+++ b/tests/test_idle_connections.py
@@ -1,7 +1,7 @@
-"""When a caller's kept connection is closed for having been idle.
+"""Test when an entry VM closes a caller's idle connection.
 
-An idle connection may be closed at any time; one over which a request is coming
-may not, or its caller gets no answer to what was sent in time.
+A connection on which a request is arriving must not be closed as idle:
+its caller would get no response.
 """
 
 import asyncio
@@ -13,92 +13,91 @@
 from rosepath.catalog import CallerLimits, RouteKind
 
 IDLE_S = 15.0
-LOOK_UP = "GET /drafts/1 HTTP/1.1\r\nRequest-Id: r1"
+GET_DRAFT = "GET /drafts/1 HTTP/1.1\r\nRequest-Id: r1"
 
 
-class SteppedLoop(asyncio.SelectorEventLoop):
-    """Use real sockets, on a clock that a test moves on."""
+class OffsetClockLoop(asyncio.SelectorEventLoop):
+    """Use real sockets and a clock that a test can advance."""
 
-    ahead_s = 0.0
+    offset_s = 0.0
 
     def time(self) -> float:
-        return super().time() + self.ahead_s
+        return super().time() + self.offset_s
 
 
-def play(course: Callable[[SteppedLoop, Entry], Awaitable[None]]) -> None:
-    async def answers(asked: Asked, writer: asyncio.StreamWriter) -> None:
+def run_scenario(scenario: Callable[[OffsetClockLoop, Entry], Awaitable[None]]) -> None:
+    async def respond(asked: Asked, writer: asyncio.StreamWriter) -> None:
         writer.write(answer(asked, 200, b"whole"))
 
     async def run() -> None:
         loop = asyncio.get_running_loop()
-        assert isinstance(loop, SteppedLoop)
+        assert isinstance(loop, OffsetClockLoop)
         route = a_route(kind=RouteKind.IDEMPOTENT, service="desk", resumable=False)
-        async with entry(Scripted("s1", answers), route=route) as node:
+        async with entry(Scripted("s1", respond), route=route) as node:
             node.gateway.apply_limits(CallerLimits(idle_timeout_s=IDLE_S))
-            await course(loop, node)
+            await scenario(loop, node)
 
-    with asyncio.Runner(loop_factory=SteppedLoop) as runner:
+    with asyncio.Runner(loop_factory=OffsetClockLoop) as runner:
         runner.run(run())
 
 
 async def until_idle(node: Entry) -> None:
-    """Wait until the entry VM waits for a request."""
+    """Wait until the entry VM has an idle connection."""
     while not node.gateway.idle:  # noqa: ASYNC110
         await asyncio.sleep(0)
 
 
-def test_a_request_that_had_arrived_is_read_though_the_idle_time_is_over() -> None:
-    # The loop stood still for a moment, as while a large configuration is taken
-    # in. A request came meanwhile, and the idle time ended after it: the
-    # connection was closed, and its caller got no answer.
-    async def course(loop: SteppedLoop, node: Entry) -> None:
+def test_a_request_received_before_the_idle_timeout_is_handled() -> None:
+    # While the event loop is blocked, for example by applying a large
+    # configuration, a request arrives and then the idle timeout expires.
+    # If the timer ran first, it would close the connection.
+    async def scenario(loop: OffsetClockLoop, node: Entry) -> None:
         reader, writer = await node.connect()
         await until_idle(node)
-        writer.write(request(LOOK_UP))
-        loop.ahead_s += IDLE_S + 0.1
+        writer.write(request(GET_DRAFT))
+        loop.offset_s += IDLE_S + 0.1
         assert (await reader.readline()).startswith(b"HTTP/1.1 200")
 
-    play(course)
+    run_scenario(scenario)
 
 
-def test_a_request_whose_head_is_arriving_is_not_taken_for_idle() -> None:
-    # A head may take some seconds to come, and its connection may have been idle
-    # for most of the idle time before: closed at its end, half of a request was
-    # thrown away.
-    async def course(loop: SteppedLoop, node: Entry) -> None:
+def test_a_connection_receiving_a_request_head_is_not_idle() -> None:
+    # A head that starts late in the idle timeout may take seconds to arrive.
+    # Closing the connection at the timeout would discard half of a request.
+    async def scenario(loop: OffsetClockLoop, node: Entry) -> None:
         reader, writer = await node.connect()
         await until_idle(node)
-        loop.ahead_s += IDLE_S - 1.0
-        sent = request(LOOK_UP)
+        loop.offset_s += IDLE_S - 1.0
+        sent = request(GET_DRAFT)
         writer.write(sent[:20])
         exchange = next(iter(node.gateway.idle))
         while not exchange._connection.stream._read_buffer_size:  # noqa: ASYNC110
             await asyncio.sleep(0)
-        loop.ahead_s += 1.5
+        loop.offset_s += 1.5
         for _ in range(5):
             await asyncio.sleep(0)
         writer.write(sent[20:])
         assert (await reader.readline()).startswith(b"HTTP/1.1 200")
 
-    play(course)
+    run_scenario(scenario)
 
 
-def test_a_connection_on_which_nothing_comes_is_closed() -> None:
-    # Our timer stands in for the library's: without it, callers that went away
-    # silently would keep their connections for ever.
-    async def course(loop: SteppedLoop, node: Entry) -> None:
+def test_an_idle_connection_is_closed_after_the_idle_timeout() -> None:
+    # The gateway's timer replaces the one of the HTTP library. Without it,
+    # connections of callers that vanished would stay open forever.
+    async def scenario(loop: OffsetClockLoop, node: Entry) -> None:
         reader, _ = await node.connect()
         await until_idle(node)
-        loop.ahead_s += IDLE_S + 0.1
+        loop.offset_s += IDLE_S + 0.1
         assert await reader.read() == b""
 
-    play(course)
+    run_scenario(scenario)
 
 
-def test_a_connection_that_its_caller_closed_is_forgotten() -> None:
-    # Each connection that was closed between two requests stayed listed as idle:
-    # an entry VM's memory grew with every connection that it ever had.
-    async def course(_: SteppedLoop, node: Entry) -> None:
+def test_a_connection_closed_by_its_caller_is_not_listed_as_idle() -> None:
+    # If a connection closed between requests stayed listed as idle, an entry
+    # VM's memory use would grow with every connection.
+    async def scenario(_: OffsetClockLoop, node: Entry) -> None:
         _, writer = await node.connect()
         await until_idle(node)
         writer.close()
@@ -106,4 +105,4 @@
             await asyncio.sleep(0)
         assert not node.gateway.idle
 
-    play(course)
+    run_scenario(scenario)
