--- a/src/rosepath/platform/__init__.py
+++ b/src/rosepath/platform/__init__.py
@@ -1,4 +1,4 @@
-"""The adapter to the users' platform: names, formats and calls.
+"""Adapt rosepath to the users' platform: names, formats and calls.
 
-Nothing in here decides: thresholds, retries and choices are the product's.
+Thresholds, retries and choices are made outside this package.
 """
--- a/src/rosepath/platform/calls.py
+++ b/src/rosepath/platform/calls.py
@@ -1,4 +1,4 @@
-"""Headers of callers' requests and backend servers' answers."""
+"""Convert the headers of callers' requests and backend servers' responses."""
 
 from dataclasses import dataclass
 from typing import NamedTuple
@@ -11,10 +11,10 @@
 
 READY_PATH = "/v1/ready"
 
-_ID = "Request-Id"
-_WAIT = "Request-Deadline-Ms"
+_REQUEST_ID = "Request-Id"
+_DEADLINE = "Request-Deadline-Ms"
 _MODEL = "Model"
-# Tokens of the prompt and the most that may be written, separated by a comma.
+# Input tokens and maximum output tokens, separated by a comma.
 _TOKENS = "Token-Usage"
 _PARTS = "Prompt-Prefix"
 _LAST_EVENT = "Last-Event-Id"
@@ -25,8 +25,8 @@
 _LOAD = "Server-Load"
 _LEAVING = "Server-Leaving"
 
-# These concern one connection only.
-_HOP = frozenset(
+# Hop-by-hop headers are not forwarded.
+_HOP_BY_HOP = frozenset(
     (
         "Connection",
         "Keep-Alive",
@@ -39,10 +39,10 @@
         "Upgrade",
     )
 )
-# These are for the system alone to set; from a caller they mean nothing.
-_OWN = frozenset(
+# Headers that the system sets; those of callers are not forwarded.
+_INTERNAL = frozenset(
     (
-        _WAIT,
+        _DEADLINE,
         _SERVER,
         _PRIORITY,
         "Expected-Version",
@@ -53,13 +53,13 @@
         "Kv-From",
     )
 )
-# Statuses with which a server turns requests away.
-_TURNED_AWAY = (429, 503)
-_DROPPED = _HOP | _OWN | {"Host", "Content-Length", "Expect"}
+# Statuses by which a server rejects requests for a while.
+_REJECTIONS = (429, 503)
+_NOT_FORWARDED = _HOP_BY_HOP | _INTERNAL | {"Host", "Content-Length", "Expect"}
 
 
 class ServerLoad(NamedTuple):
-    """Hold how busy a backend server says it is."""
+    """Hold the load that a backend server reports."""
 
     running: int
     waiting: int
@@ -68,10 +68,10 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class AnswerFacts:
-    """Tell what an answer's headers say besides the status.
+    """Hold what the headers of a backend server's response state.
 
-    `signed` marks an answer that the backend server itself made by running
-    the request; `not_run` one by which it promises that it did not.
+    `signed` is True if the backend server ran the request and signed the
+    response; `not_run` is True if it states that it did not run the request.
     """
 
     signed: bool
@@ -89,8 +89,8 @@
     body: bytes,
     arrived_s: float,
 ) -> CallerRequest:
-    """Decode a caller's request; raises BadRequestError."""
-    request_id = headers.get(_ID, "")
+    """Decode a caller's request; raise BadRequestError if it is invalid."""
+    request_id = headers.get(_REQUEST_ID, "")
     if not request_id:
         raise BadRequestError("the request has no id")
     return CallerRequest(
@@ -98,13 +98,15 @@
         method=method,
         path=path,
         host=headers.get("Host", "").partition(":")[0].lower(),
-        headers={name: value for name, value in headers.items() if name not in _DROPPED}
+        headers={
+            name: value for name, value in headers.items() if name not in _NOT_FORWARDED
+        }
         | {"Host": headers.get("Host", "")},
         body=body,
         arrived_s=arrived_s,
-        wait_s=_seconds(headers.get(_WAIT)),
-        prompt=_prompt(headers),
-        last_event_id=_whole(headers.get(_LAST_EVENT)),
+        wait_s=_parse_ms(headers.get(_DEADLINE)),
+        prompt=_parse_prompt(headers),
+        last_event_id=_parse_int(headers.get(_LAST_EVENT)),
     )
 
 
@@ -116,10 +118,10 @@
     priority: int | None = None,
     last_event_id: int | None = None,
 ) -> dict[str, str]:
-    """Return the headers with which a request goes to a backend server."""
+    """Return the headers of a request to a backend server."""
     headers = dict(call.headers)
     headers.pop("Host")
-    headers[_WAIT] = str(max(1, int(left_s * 1000)))
+    headers[_DEADLINE] = str(max(1, int(left_s * 1000)))
     headers[_SERVER] = server
     if priority is not None:
         headers[_PRIORITY] = str(priority)
@@ -129,60 +131,60 @@
 
 
 def belongs_to(call: CallerRequest, headers: HTTPHeaders) -> bool:
-    """Tell whether an answer is to this request, by the id that it echoes."""
-    return headers.get(_ID, call.request_id) == call.request_id
+    """Return whether a response echoes this request's id, or none."""
+    return headers.get(_REQUEST_ID, call.request_id) == call.request_id
 
 
 def read_answer(status: int, headers: HTTPHeaders) -> AnswerFacts:
-    """Read what the headers of a backend server's answer say."""
+    """Read the headers of a backend server's response."""
     signed = _SIGNATURE in headers
     return AnswerFacts(
         signed=signed,
         not_run=_NOT_RUN in headers or (status == 421 and not signed),
         encoded="Content-Encoding" in headers,
-        load=_load(headers.get(_LOAD, "")),
+        load=_parse_load(headers.get(_LOAD, "")),
         notice=read_notice(status, headers),
     )
 
 
 def read_notice(status: int, headers: HTTPHeaders) -> ServerNotice:
-    """Read what a server says of itself in an answer of any kind."""
+    """Read whether a server is draining and how long to back off from it."""
     if status == 421:
-        # Another server listens there now; it speaks of itself.
+        # Another server uses this address now and sent the response.
         return NO_NOTICE
-    retry_after_s = read_retry_after_s(headers) if status in _TURNED_AWAY else 0.0
+    retry_after_s = read_retry_after_s(headers) if status in _REJECTIONS else 0.0
     return ServerNotice(
         leaving=headers.get(_LEAVING) == "1", retry_after_s=retry_after_s
     )
 
 
 def answer_headers(headers: HTTPHeaders) -> HTTPHeaders:
-    """Return the headers of an answer that are passed on to the caller."""
-    passed = HTTPHeaders()
+    """Return the headers of a response that are forwarded to the caller."""
+    forwarded = HTTPHeaders()
     for name, value in headers.get_all():
-        if name not in _HOP and name not in (_LOAD, "Content-Length"):
-            passed.add(name, value)
-    return passed
+        if name not in _HOP_BY_HOP and name not in (_LOAD, "Content-Length"):
+            forwarded.add(name, value)
+    return forwarded
 
 
 def refusal_headers(
     request_id: str, *, retry_after_s: float | None = None
 ) -> HTTPHeaders:
-    """Return the headers of an answer of our own."""
+    """Return the headers of a response generated by this entry VM."""
     headers = HTTPHeaders({"Content-Type": "application/json"})
     if request_id:
-        headers[_ID] = request_id
+        headers[_REQUEST_ID] = request_id
     if retry_after_s is not None:
         headers["Retry-After"] = f"{retry_after_s:.2f}"
     return headers
 
 
-def _prompt(headers: HTTPHeaders) -> Prompt | None:
+def _parse_prompt(headers: HTTPHeaders) -> Prompt | None:
     target = headers.get(_MODEL)
     if target is None:
         return None
     model, _, adapter = target.partition("/")
-    read, _, written = headers.get(_TOKENS, "0,0").partition(",")
+    input_tokens, _, output_tokens = headers.get(_TOKENS, "0,0").partition(",")
     try:
         parts = tuple(
             PromptPart(part_id, int(tokens))
@@ -195,26 +197,26 @@
         return Prompt(
             model=model,
             adapter=adapter,
-            input_tokens=int(read or 0),
-            output_tokens=int(written or 0),
+            input_tokens=int(input_tokens or 0),
+            output_tokens=int(output_tokens or 0),
             parts=parts,
         )
     except ValueError as error:
         raise BadRequestError(f"the prompt's headers are broken: {error}") from error
 
 
-def _load(given: str) -> ServerLoad | None:
+def _parse_load(raw: str) -> ServerLoad | None:
     try:
-        running, waiting, slots = map(int, given.split(","))
+        running, waiting, slots = map(int, raw.split(","))
     except ValueError:
         return None
     return ServerLoad(running, waiting, slots)
 
 
-def _seconds(given: str | None) -> float | None:
-    whole = _whole(given)
-    return None if whole is None else whole / 1000
+def _parse_ms(raw: str | None) -> float | None:
+    milliseconds = _parse_int(raw)
+    return None if milliseconds is None else milliseconds / 1000
 
 
-def _whole(given: str | None) -> int | None:
-    return int(given) if given is not None and given.strip().isdigit() else None
+def _parse_int(raw: str | None) -> int | None:
+    return int(raw) if raw is not None and raw.strip().isdigit() else None
--- a/src/rosepath/platform/documents.py
+++ b/src/rosepath/platform/documents.py
@@ -1,4 +1,4 @@
-"""Decode the operator's configuration and the backend servers' entries."""
+"""Decode the stored configuration and the backend servers' entries."""
 
 import ipaddress
 import json
@@ -41,12 +41,12 @@
     model_config = ConfigDict(extra="ignore", frozen=True, alias_generator=to_camel)
 
 
-def _reachable(address: str) -> str:
-    """Check that an address is one of IPv4 with a port."""
+def _validate_address(address: str) -> str:
+    """Return the address if it is an IPv4 address with a port."""
     host, _, port = address.rpartition(":")
     ipaddress.IPv4Address(host)
     if not (port.isascii() and port.isdigit() and 0 < int(port) < 65_536):
-        raise ValueError("no such port")
+        raise ValueError("the port is not between 1 and 65535")
     return address
 
 
@@ -156,7 +156,7 @@
     idle_timeout_ms: float = 15000
 
 
-class _HeldModel(_Document):
+class _ResidentModel(_Document):
     name: StrictStr
     adapters: tuple[StrictStr, ...] = ()
 
@@ -170,42 +170,42 @@
 
 
 class _Server(_Document):
-    """Read a server's entry, every field of the type that its writer uses.
+    """Validate a server's entry without type conversion.
 
-    Other writers' entries stand under the same kind: with a field missing or
-    converted from another type, one would lead requests to nowhere.
+    Other writers store entries of the same kind. If missing or converted
+    fields were accepted, requests could be sent to invalid addresses.
     """
 
     service: Annotated[StrictStr, Field(min_length=1)]
-    address: Annotated[StrictStr, AfterValidator(_reachable)]
+    address: Annotated[StrictStr, AfterValidator(_validate_address)]
     zone: StrictStr
     version: StrictStr
     slots: Annotated[StrictInt, Field(ge=1)]
     state: Literal["ready", "draining"]
     sequence: _Count
-    # When this life of the server began, in Unix milliseconds; entries that
-    # lack it are from before any that has it.
+    # Start of this instance of the server, in Unix milliseconds. An entry
+    # without it is older than any entry with it.
     born: _Count = 0
-    models: tuple[_HeldModel, ...] = ()
+    models: tuple[_ResidentModel, ...] = ()
     available: _Available = _Available()
     remaining_ms: float | None = None
 
 
 def decode_catalog(stored: StoredObject) -> Catalog | None:
-    """Decode a configuration; entries that are not understood are skipped."""
-    raw = _object(stored)
+    """Decode a configuration and skip invalid entries."""
+    raw = _parse_object(stored)
     version = raw.get("version") if raw else None
     if raw is None or not isinstance(version, int):
         _log.warning("configuration_unreadable", revision=stored.version)
         return None
-    services = [s.decoded() for s in _entries(raw, "services", _Service)]
+    services = [s.decoded() for s in _parse_entries(raw, "services", _Service)]
     routes: list[HostRoute] = []
-    for route in _entries(raw, "routes", _Route):
+    for route in _parse_entries(raw, "routes", _Route):
         try:
             routes.append(route.decoded())
         except ValueError as error:
             _log.warning("configuration_entry_skipped", name=route.name, why=str(error))
-    limits = _read(_Limits, raw.get("limits") or {}, "limits") or _Limits()
+    limits = _validate(_Limits, raw.get("limits") or {}, "limits") or _Limits()
     return Catalog(
         version=version,
         routes=routes,
@@ -220,9 +220,9 @@
 
 
 def decode_server(stored: StoredObject) -> ServerEntry | None:
-    """Decode a backend server's entry, or log why it is skipped."""
-    raw = _object(stored)
-    read = _read(_Server, raw, stored.name) if raw is not None else None
+    """Decode a backend server's entry, or log why it is invalid."""
+    raw = _parse_object(stored)
+    read = _validate(_Server, raw, stored.name) if raw is not None else None
     if read is None:
         return None
     return ServerEntry(
@@ -242,7 +242,7 @@
     )
 
 
-def _object(stored: StoredObject) -> dict[str, Any] | None:
+def _parse_object(stored: StoredObject) -> dict[str, Any] | None:
     try:
         raw = json.loads(stored.value)
     except (ValueError, RecursionError) as error:
@@ -251,16 +251,16 @@
     return raw if isinstance(raw, dict) else None
 
 
-def _entries(raw: dict[str, Any], key: str, model: type[_M]) -> list[_M]:
+def _parse_entries(raw: dict[str, Any], key: str, model: type[_M]) -> list[_M]:
     listed = raw.get(key) or []
     if not isinstance(listed, list):
         _log.warning("configuration_entry_skipped", name=key, why="not a list")
         return []
-    read = [_read(model, entry, key) for entry in listed]
+    read = [_validate(model, entry, key) for entry in listed]
     return [entry for entry in read if entry is not None]
 
 
-def _read(model: type[_M], raw: Any, where: str) -> _M | None:
+def _validate(model: type[_M], raw: Any, where: str) -> _M | None:
     try:
         return model.model_validate(raw)
     except ValidationError as error:
--- a/src/rosepath/platform/engines.py
+++ b/src/rosepath/platform/engines.py
@@ -1,4 +1,4 @@
-"""Calls to engines: orders to load and unload, and reports."""
+"""Send load and unload orders to engines and read their reports."""
 
 import json
 from collections.abc import Callable, Mapping
@@ -27,16 +27,16 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class EngineCalls:
-    """Implement the engine port over pooled connections."""
+    """Implement the engine interface over pooled connections."""
 
     pool: HttpPool
-    # Told what an engine's answer says of that engine, by its name.
+    # Called with a server's name and the notice in its response.
     on_notice: Callable[[str, ServerNotice], None] = lambda _, __: None
 
     async def order(
         self, address: str, order: Order, *, still_wanted: Callable[[], bool]
     ) -> OrderReply:
-        """Send an order; raises ExchangeError if no answer tells its fate."""
+        """Send an order; raise ExchangeError if its outcome is unknown."""
         body = {
             "operation": _OPERATIONS[order.action],
             "model": order.model,
@@ -61,11 +61,11 @@
                 still_wanted=still_wanted,
             )
         )
-        self._heed(order.server, head)
+        self._forward_notice(order.server, head)
         return _REPLIES.get(head.status, OrderReply.REFUSED)
 
     async def report(self, address: str, server: str) -> EngineReport:
-        """Read an engine's report; raises ExchangeError."""
+        """Read an engine's report; raise ExchangeError if that fails."""
         head, body = await self.pool.fetch(
             Request(
                 address=address,
@@ -76,7 +76,7 @@
                 progress_timeout_s=ORDER_TIMEOUT_S,
             )
         )
-        self._heed(server, head)
+        self._forward_notice(server, head)
         try:
             if head.status != 200:
                 raise ValueError(f"status {head.status}")
@@ -91,7 +91,7 @@
                     )
                     for model in raw["models"]
                 },
-                # As model/name@version.
+                # Each name has the form model/name@version.
                 pending=frozenset(
                     name.partition("@")[0] for name in raw.get("pending") or ()
                 ),
@@ -104,7 +104,7 @@
                 sent=True,
             ) from error
 
-    def _heed(self, server: str, head: ResponseHead) -> None:
+    def _forward_notice(self, server: str, head: ResponseHead) -> None:
         notice = read_notice(head.status, head.headers)
         if notice != NO_NOTICE:
             self.on_notice(server, notice)
--- a/src/rosepath/platform/store.py
+++ b/src/rosepath/platform/store.py
@@ -1,4 +1,4 @@
-"""Speak the platform's object store: conditional writes, lists, watches."""
+"""Access the platform's object store: conditional writes, lists, watches."""
 
 import asyncio
 import json
@@ -28,11 +28,11 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class StoreAccess:
-    """Tell where the store is and how long a call may take.
+    """Hold the store's address and the timeouts of calls to it.
 
-    A write, or a read of one object, is answered within `call_timeout_s`. Reads of
-    many objects may be large: they begin within `read_patience_s`, and go on as long
-    as no pause in them is longer than `call_timeout_s`.
+    `call_timeout_s` limits writes and reads of a single object. Responses to
+    lists and watches may be large: they must start within `read_patience_s`,
+    and then `call_timeout_s` limits each pause in them.
     """
 
     address: str
@@ -41,7 +41,7 @@
 
 
 class PlatformStore:
-    """Implement the ports to objects and their changes; names are `kind/name`."""
+    """Own the connections to the store; objects are named `kind/name`."""
 
     def __init__(self, access: StoreAccess, *, clock: Clock) -> None:
         self._access = access
@@ -56,13 +56,13 @@
 
     async def get(self, name: str) -> StoredObject | None:
         head, raw = await self._call("get", "GET", _path(name))
-        return None if head.status == 404 else _stored(name, raw)
+        return None if head.status == 404 else _parse_object(name, raw)
 
     async def put(
         self, name: str, value: bytes, *, expected_version: int | None
     ) -> int:
-        kind, _, own = name.partition("/")
-        metadata: dict[str, Any] = {"name": own}
+        kind, _, object_name = name.partition("/")
+        metadata: dict[str, Any] = {"name": object_name}
         if expected_version:
             metadata["revision"] = expected_version
         body = json.dumps({"metadata": metadata, "spec": value.decode()}).encode()
@@ -84,22 +84,22 @@
         fresh: bool = False,
         on_response_start: OnResponseStart = ignore_response_start,
     ) -> Listing:
-        """Read every object of a kind, page by page."""
+        """Read all objects of a kind page by page."""
         objects: dict[str, StoredObject] = {}
         after = ""
         revision: int | None = None
         while True:
             query = f"?{urlencode({'after': after})}" if after else ""
             path = f"{_PATH}{kind}{query}"
-            _, raw = await self._read(
+            _, raw = await self._read_list(
                 "list", path, fresh=fresh, on_response_start=on_response_start
             )
             for item in raw["items"]:
                 after = item["metadata"]["name"]
                 name = f"{kind}/{after}"
-                objects[name] = _stored(name, item)
-            # The first page's revision: what changes while later pages are
-            # read comes once more with the watch that starts there.
+                objects[name] = _parse_object(name, item)
+            # A watch from the first page's revision includes all changes made
+            # while later pages are read.
             revision = int(raw["atRevision"]) if revision is None else revision
             if not raw.get("hasMore"):
                 return Listing(revision=revision, objects=objects)
@@ -113,18 +113,18 @@
         relaxed: bool = False,
         on_response_start: OnResponseStart = ignore_response_start,
     ) -> Change:
-        """Wait for changes of a kind; raises HistoryGoneError or StoreError.
+        """Wait for changes of a kind; raise HistoryGoneError or StoreError.
 
-        A relaxed watch may be told of them seconds late. It costs a tenth of
-        another, and is not counted towards the rate of calls.
+        A relaxed watch may receive changes seconds late. It costs a tenth of
+        a regular watch and does not count towards the rate of calls.
         """
-        asked = {"watch": after, "waitMs": int(wait_s * 1000)}
+        params = {"watch": after, "waitMs": int(wait_s * 1000)}
         if relaxed:
-            asked["isStale"] = 1
-        path = f"{_PATH}{kind}?{urlencode(asked)}"
-        what = "relaxed_watch" if relaxed else "watch"
-        head, raw = await self._read(
-            what, path, wait_s=wait_s, on_response_start=on_response_start
+            params["isStale"] = 1
+        path = f"{_PATH}{kind}?{urlencode(params)}"
+        operation = "relaxed_watch" if relaxed else "watch"
+        head, raw = await self._read_list(
+            operation, path, wait_s=wait_s, on_response_start=on_response_start
         )
         if head.status == 410:
             raise HistoryGoneError(kind, step=Step.STORE, peer=self._access.address)
@@ -137,7 +137,7 @@
                 removed.add(name)
             else:
                 removed.discard(name)
-                written[name] = _stored(name, event["object"])
+                written[name] = _parse_object(name, event["object"])
         return Change(
             revision=int(raw["atRevision"]),
             written=written,
@@ -145,7 +145,7 @@
         )
 
     async def _call(
-        self, what: str, method: str, path: str, body: bytes = b""
+        self, operation: str, method: str, path: str, body: bytes = b""
     ) -> tuple[ResponseHead, Any]:
         limit_s = self._access.call_timeout_s
         request = Request(
@@ -157,49 +157,49 @@
             connect_timeout_s=limit_s,
             progress_timeout_s=limit_s,
         )
-        return await self._fetch(what, request, limit_s=limit_s)
+        return await self._fetch(operation, request, limit_s=limit_s)
 
-    async def _read(
+    async def _read_list(
         self,
-        what: str,
+        operation: str,
         path: str,
         *,
         wait_s: float = 0.0,
         fresh: bool = False,
         on_response_start: OnResponseStart,
     ) -> tuple[ResponseHead, Any]:
-        """Read what may be large, for as long as it keeps arriving."""
-        patience_s = self._access.read_patience_s
+        """List or watch objects; once the response starts, limit pauses."""
+        start_timeout_s = self._access.read_patience_s
         request = Request(
             address=self._access.address,
             method="GET",
             path=path,
-            connect_timeout_s=patience_s,
-            progress_timeout_s=patience_s + wait_s,
+            connect_timeout_s=start_timeout_s,
+            progress_timeout_s=start_timeout_s + wait_s,
             proven_live_within_s=0.0 if fresh else None,
         )
         return await self._fetch(
-            what,
+            operation,
             request,
-            limit_s=patience_s + wait_s,
+            limit_s=start_timeout_s + wait_s,
             pause_s=self._access.call_timeout_s,
             on_response_start=on_response_start,
         )
 
     async def _fetch(
         self,
-        what: str,
+        operation: str,
         request: Request,
         *,
         limit_s: float,
         pause_s: float | None = None,
         on_response_start: OnResponseStart = ignore_response_start,
     ) -> tuple[ResponseHead, Any]:
-        """Make a call and read its answer; raises StoreError or ConflictError."""
-        self.calls[what] += 1
+        """Make a call, decode its response; raise StoreError or ConflictError."""
+        self.calls[operation] += 1
         method, path = request.method, request.path
         try:
-            head, answer = await self._exchange(
+            head, body = await self._exchange(
                 request,
                 limit_s=limit_s,
                 pause_s=pause_s,
@@ -208,15 +208,15 @@
             if head.status == 409:
                 raise ConflictError(path, step=Step.STORE, peer=self._access.address)
             if head.status >= 400 and head.status not in (404, 410):
-                raise self._failed(f"{method} {path}: {head.status}", unknown=False)
-            # Other writers' objects may hold bytes that are no text at all.
-            raw = json.loads(answer.decode(errors="replace")) if answer else {}
+                raise self._error(f"{method} {path}: {head.status}", unknown=False)
+            # Other writers' objects may contain invalid UTF-8.
+            raw = json.loads(body.decode(errors="replace")) if body else {}
         except (ExchangeError, TimeoutError, ValueError, RecursionError) as error:
-            never_sent = isinstance(error, ExchangeError) and not error.sent
-            unknown = method != "GET" and not never_sent
+            unsent = isinstance(error, ExchangeError) and not error.sent
+            unknown = method != "GET" and not unsent
             why = str(error) or "no answer in time"
-            raise self._failed(f"{method} {path}: {why}", unknown=unknown) from error
-        if head.status == 404 and what == "replace":
+            raise self._error(f"{method} {path}: {why}", unknown=unknown) from error
+        if head.status == 404 and operation == "replace":
             raise ConflictError(path, step=Step.STORE, peer=self._access.address)
         self.last_success_s = self._clock.monotonic_s()
         return head, raw
@@ -229,52 +229,53 @@
         pause_s: float | None,
         on_response_start: OnResponseStart,
     ) -> tuple[ResponseHead, bytes]:
-        """Send a request and return its answer, or raise TimeoutError.
+        """Send a request and return its response, or raise TimeoutError.
 
-        With `pause_s` each part that arrives gives the answer that much longer.
+        If `pause_s` is given, each received part extends the deadline by it.
         """
         parts: list[bytes] = []
 
-        def note_head(_: ResponseHead) -> None:
-            note_arrival()
+        def handle_head(_: ResponseHead) -> None:
+            extend_deadline()
             on_response_start()
 
-        def note_part(part: bytes) -> None:
-            note_arrival()
+        def handle_data(part: bytes) -> None:
+            extend_deadline()
             parts.append(part)
 
-        def note_arrival() -> None:
+        def extend_deadline() -> None:
             if pause_s is not None:
                 deadline.extend(pause_s)
 
-        exchanging = asyncio.ensure_future(
-            self._pool.exchange(request, on_head=note_head, on_data=note_part)
+        task = asyncio.ensure_future(
+            self._pool.exchange(request, on_head=handle_head, on_data=handle_data)
         )
-        deadline = CallDeadline(exchanging, limit_s=limit_s)
+        deadline = CallDeadline(task, limit_s=limit_s)
         try:
-            await asyncio.wait([exchanging])
-            if exchanging.cancelled():
+            await asyncio.wait([task])
+            if task.cancelled():
                 raise TimeoutError
-            return exchanging.result(), b"".join(parts)
+            return task.result(), b"".join(parts)
         finally:
             deadline.disable()
-            exchanging.cancel()
-            await asyncio.wait([exchanging])
+            task.cancel()
+            await asyncio.wait([task])
 
-    def _failed(self, message: str, *, unknown: bool) -> StoreError:
+    def _error(self, message: str, *, unknown: bool) -> StoreError:
         failure = StoreError(message, step=Step.STORE, peer=self._access.address)
         failure.unknown = unknown
         return failure
 
 
 def _path(name: str) -> str:
-    kind, _, own = name.partition("/")
-    return f"{_PATH}{kind}/{quote(own, safe='')}"
+    kind, _, object_name = name.partition("/")
+    return f"{_PATH}{kind}/{quote(object_name, safe='')}"
 
 
-def _stored(name: str, raw: Mapping[str, Any]) -> StoredObject:
+def _parse_object(name: str, raw: Mapping[str, Any]) -> StoredObject:
     spec = raw.get("spec")
-    # Own objects hold text, byte for byte; the operator's hold documents.
-    text = spec if isinstance(spec, str) else json.dumps(spec)
-    value = text.encode(errors="replace")
+    # The spec of rosepath's own objects is a string, kept byte for byte; that
+    # of operators' objects is a document.
+    encoded = spec if isinstance(spec, str) else json.dumps(spec)
+    value = encoded.encode(errors="replace")
     return StoredObject(name, int(raw["metadata"]["revision"]), value)
--- a/tests/test_platform_boundary.py
+++ b/tests/test_platform_boundary.py
@@ -1,4 +1,4 @@
-"""The platform's names stay in its adapter."""
+"""Test that only the platform adapter uses the platform's names."""
 
 import re
 from pathlib import Path
@@ -8,7 +8,7 @@
 PACKAGE = Path(rosepath.__file__).parent
 ADAPTER = PACKAGE / "platform"
 MAX_ADAPTER_LINES = 900
-# Names of the platform's calls, headers and fields that mean nothing else.
+# Names of the platform's calls, headers and fields without another meaning.
 NAMES = re.compile(
     r"Not-Executed|Token-Usage|Prompt-Prefix|Target-Instance|Request-Deadline-Ms"
     r"|Response-Signature|Instance-Id|Server-Load|Request-Priority|fencingToken"
@@ -17,7 +17,7 @@
 )
 
 
-def test_no_module_outside_the_adapter_knows_the_platforms_names() -> None:
+def test_no_module_outside_the_adapter_uses_the_platforms_names() -> None:
     found = [
         f"{path.relative_to(PACKAGE)}: {match.group()}"
         for path in PACKAGE.rglob("*.py")
@@ -32,5 +32,5 @@
     assert lines < MAX_ADAPTER_LINES
 
 
-def test_the_check_sees_the_adapters_own_names() -> None:
+def test_the_pattern_matches_names_in_the_adapter() -> None:
     assert NAMES.search((ADAPTER / "calls.py").read_text())
--- a/tests/test_platform_documents.py
+++ b/tests/test_platform_documents.py
@@ -1,4 +1,4 @@
-"""Documents that are partly not understood cost only what is not."""
+"""Test that only the invalid entries of a document are skipped."""
 
 import json
 from typing import Any
@@ -72,7 +72,7 @@
     assert catalog.find("court.example", "/draft") is None
 
 
-def test_a_split_route_gives_each_service_its_share() -> None:
+def test_a_route_splits_traffic_by_the_services_weights() -> None:
     shares = [{"service": "llm", "weight": 90}, {"service": "new", "weight": 10}]
     split = {**ROUTE, "service": None, "trafficSplit": shares}
     catalog = decode_catalog(document(split))
@@ -82,16 +82,16 @@
     assert 120 < drawn.count("new") < 280
 
 
-def test_entries_that_are_not_understood_are_skipped() -> None:
+def test_invalid_entries_are_skipped() -> None:
     bad = [{**ROUTE, "timeoutMs": "soon"}, {"name": "r-3"}, 5, None]
     catalog = decode_catalog(document(*bad, ROUTE))
     assert catalog is not None
     assert [route.name for route in catalog.routes] == ["r-1"]
 
 
-def test_a_server_that_lacks_a_field_is_skipped() -> None:
-    lacking = {key: value for key, value in SERVER.items() if key != "address"}
-    assert decode_server(stored(lacking, "servers/i-1")) is None
+def test_a_server_without_an_address_is_skipped() -> None:
+    missing = {key: value for key, value in SERVER.items() if key != "address"}
+    assert decode_server(stored(missing, "servers/i-1")) is None
     entry = decode_server(stored(SERVER, "servers/i-2"))
     assert entry is not None
     assert entry.models == {"m": frozenset({"a1"})}
@@ -99,7 +99,7 @@
 
 
 @pytest.mark.parametrize(
-    "spoilt",
+    "invalid_fields",
     [
         {"address": "999.2.3.4:8080"},
         {"address": "10.1.0.9:599999"},
@@ -122,23 +122,25 @@
         {"available": []},
     ],
 )
-def test_a_field_of_another_type_names_no_server(spoilt: dict[str, Any]) -> None:
-    assert decode_server(stored({**SERVER, **spoilt}, "servers/i-1")) is None
+def test_a_server_with_an_invalid_field_is_skipped(
+    invalid_fields: dict[str, Any],
+) -> None:
+    assert decode_server(stored({**SERVER, **invalid_fields}, "servers/i-1")) is None
 
 
-@pytest.mark.parametrize("lacking", ["service", "zone", "version", "slots", "state"])
-def test_a_field_that_is_missing_names_no_server(lacking: str) -> None:
-    raw = {key: value for key, value in SERVER.items() if key != lacking}
+@pytest.mark.parametrize("missing", ["service", "zone", "version", "slots", "state"])
+def test_a_server_without_a_required_field_is_skipped(missing: str) -> None:
+    raw = {key: value for key, value in SERVER.items() if key != missing}
     assert decode_server(stored(raw, "servers/i-1")) is None
 
 
-def test_the_start_of_a_servers_life_is_read() -> None:
+def test_the_start_time_of_a_servers_instance_is_decoded() -> None:
     entry = decode_server(stored({**SERVER, "born": 1_790_000_000_123}, "servers/i-1"))
     assert entry is not None and entry.born_ms == 1_790_000_000_123
 
 
 @given(st.binary(max_size=40))
-def test_no_bytes_in_a_document_end_the_process(value: bytes) -> None:
+def test_arbitrary_bytes_in_a_document_raise_nothing(value: bytes) -> None:
     decode_catalog(StoredObject("config/main", 5, value))
     decode_server(StoredObject("servers/i-1", 5, value))
     decode_lease(StoredObject("leases/placement", 5, value))
@@ -155,7 +157,7 @@
 
 
 @given(values)
-def test_nothing_in_a_document_ends_the_process(raw: Any) -> None:
+def test_arbitrary_json_in_a_document_raises_nothing(raw: Any) -> None:
     decode_catalog(stored(raw))
     decode_server(stored(raw, "servers/i-1"))
     decode_lease(stored(raw, "leases/placement"))
@@ -163,9 +165,9 @@
 
 
 def test_a_services_objectives_are_the_strictest_of_its_routes() -> None:
-    lax = {**ROUTE, "name": "r-2", "targetLatencyMs": 4000, "targetGapMs": None}
+    lenient = {**ROUTE, "name": "r-2", "targetLatencyMs": 4000, "targetGapMs": None}
     strict = {**ROUTE, "name": "r-3", "targetLatencyMs": 900, "targetGapMs": 150}
-    catalog = decode_catalog(document(ROUTE, lax, strict))
+    catalog = decode_catalog(document(ROUTE, lenient, strict))
     assert catalog is not None
     good = catalog.objectives["llm"]
     assert (good.first_s, good.gap_s) == (0.6, 0.15)
