--- a/src/rosepath/errors.py
+++ b/src/rosepath/errors.py
@@ -1,11 +1,11 @@
-"""Typed failures, each with the step and the peer at which it arose."""
+"""Define typed errors with the step and the peer at which they occurred."""
 
 from dataclasses import dataclass
 from enum import StrEnum
 
 
 class Run(StrEnum):
-    """Tell how much of a refused request was run."""
+    """Enumerate how much of a refused request was run."""
 
     NO = "no"
     PARTIAL = "partial"
@@ -13,7 +13,7 @@
 
 
 class Step(StrEnum):
-    """Name the part of the path at which a failure arose."""
+    """Enumerate the steps of a request at which an error can occur."""
 
     PARSE = "parse"
     AUTHENTICATE = "authenticate"
@@ -29,7 +29,7 @@
 
 
 class RosepathError(Exception):
-    """Carry what went wrong, where, and with whom."""
+    """Base class of errors with a message, a step and a peer."""
 
     def __init__(self, message: str, *, step: Step, peer: str = "") -> None:
         super().__init__(message)
@@ -41,10 +41,10 @@
 class ExchangeError(RosepathError):
     """Report an HTTP exchange that did not complete.
 
-    `sent` is False only if no byte of the request was handed to the socket;
-    `withdrawn` is True if that is because it was no longer wanted; `answered` is
-    True once the head of the answer arrived; `lost` is True if the peer closed or
-    reset the connection before the answer was whole.
+    `sent` is False only if no byte of the request was written to the socket;
+    `withdrawn` is True if that is because the request was cancelled;
+    `answered` is True once the head of the response arrived; `lost` is True if
+    the peer closed or reset the connection before the response was complete.
     """
 
     def __init__(
@@ -69,7 +69,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Refusal:
-    """Answer a caller that its request fails, and whether any of it ran."""
+    """Hold the error response to a caller, including how much was run."""
 
     status: int
     code: str
@@ -81,7 +81,7 @@
 
 
 class RefusalError(Exception):
-    """Unwind a request to the handler, which sends the refusal."""
+    """Propagate a refusal to the handler, which sends it to the caller."""
 
     def __init__(self, refusal: Refusal) -> None:
         super().__init__(refusal.message)
--- a/src/rosepath/tables.py
+++ b/src/rosepath/tables.py
@@ -1,17 +1,17 @@
-"""The tables of a node: plain rows that the systems read and write."""
+"""Define the in-memory tables of an entry VM and their rows."""
 
 import math
 from collections import deque
 from dataclasses import dataclass, field
 from enum import IntEnum, StrEnum
 
-MOVES_KEPT = 500
-OTHERS_SMOOTHED_S = 2.8
-OTHERS_MAX_WEIGHT = 0.3
+MAX_MOVE_RECORDS = 500
+OTHER_LOAD_SMOOTHING_S = 2.8
+OTHER_LOAD_MAX_WEIGHT = 0.3
 
 
 class MemberState(IntEnum):
-    """Order the states of a member within one incarnation."""
+    """Order a member's states; within one incarnation the higher one wins."""
 
     ALIVE = 0
     LEAVING = 1
@@ -20,7 +20,7 @@
 
 @dataclass(slots=True, kw_only=True)
 class EntryVm:
-    """Hold what is known of one entry VM."""
+    """Hold the known state of one entry VM."""
 
     name: str
     data_centre: str
@@ -32,11 +32,11 @@
 
 @dataclass(slots=True, kw_only=True)
 class Replica:
-    """Hold what is known of one backend server.
+    """Hold the known state of one backend server.
 
-    `reported_at_s` is the local monotonic time at which the report was true,
-    `known_since_s` the one at which the row was made;
-    `own_starts` are the local times of this node's requests still running.
+    Times are local and monotonic: `reported_at_s` is when the last report was
+    true, `known_since_s` when the row was created, and `own_starts` the start
+    times of this entry VM's requests in flight.
     """
 
     name: str
@@ -58,7 +58,7 @@
     own_starts: dict[str, float] = field(default_factory=dict)
     hold_s: float = 0.5
     suspect_until_s: float = 0.0
-    # Until when it sheds the calls of this VM, as it said with a refusal.
+    # End of the backoff that the server requested when it rejected a call.
     backoff_until_s: float = 0.0
     failures: int = 0
 
@@ -67,33 +67,33 @@
         return len(self.own_starts)
 
     def load(self) -> float:
-        """Return own requests in flight plus what others have, smoothed.
+        """Return own requests in flight plus the smoothed load of other VMs.
 
-        The own count is exact and known to no one else, so routers that read
-        the same report don't all turn to the same replica; the reported part
-        is old by the time it is read, and only its average means something.
+        The own count is exact and known to this entry VM only, so VMs that
+        read the same report do not all choose the same replica. The reported
+        load is outdated when it is read, so only its average is used.
         """
         return self.own_in_flight + self.other_vms_load
 
     def note_report(self, *, running: int, queued: int, at_s: float) -> None:
-        """Take a report that was true at a local time."""
+        """Apply a report that was true at local time `at_s`."""
         elapsed_s = at_s - (self.reported_at_s or -math.inf)
-        weight = 1 - math.exp(-max(0.0, elapsed_s) / OTHERS_SMOOTHED_S)
-        weight = min(weight, OTHERS_MAX_WEIGHT)
+        weight = 1 - math.exp(-max(0.0, elapsed_s) / OTHER_LOAD_SMOOTHING_S)
+        weight = min(weight, OTHER_LOAD_MAX_WEIGHT)
         self.running, self.queued, self.reported_at_s = running, queued, at_s
         others = max(0, running + queued - self.own_in_flight)
         self.other_vms_load += weight * (others - self.other_vms_load)
 
 
 class MoveAction(StrEnum):
-    """Name what an order makes an engine do."""
+    """Enumerate the operations of an order to an engine."""
 
     LOAD = "load"
     UNLOAD = "unload"
 
 
 class MoveReason(StrEnum):
-    """Say why a move is made."""
+    """Enumerate the reasons for a move."""
 
     FLOOR = "floor"
     ADAPTER = "adapter"
@@ -116,7 +116,7 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class MoveRecord:
-    """Tell when a move was made and how it ended."""
+    """Record the time and outcome of a move."""
 
     at_s: float
     move: Move
@@ -125,10 +125,12 @@
 
 @dataclass(slots=True)
 class Tables:
-    """Hold every table of a node."""
+    """Own all tables of an entry VM."""
 
     entry_vms: dict[str, EntryVm] = field(default_factory=dict)
     replicas: dict[str, Replica] = field(default_factory=dict)
     leaving_vms: set[str] = field(default_factory=set)
-    moves: deque[MoveRecord] = field(default_factory=lambda: deque(maxlen=MOVES_KEPT))
+    moves: deque[MoveRecord] = field(
+        default_factory=lambda: deque(maxlen=MAX_MOVE_RECORDS)
+    )
     demand: dict[str, float] = field(default_factory=dict)
