--- a/src/rosepath/http_client.py
+++ b/src/rosepath/http_client.py
@@ -160,13 +160,13 @@
         now_s = self._clock.monotonic_s()
         idle = self._idle[request.address]
         limit_s = request.proven_live_within_s
-        fresh_s = MAX_IDLE_S if limit_s is None else min(limit_s, MAX_IDLE_S)
+        max_age_s = MAX_IDLE_S if limit_s is None else min(limit_s, MAX_IDLE_S)
         while idle:
             connection = idle.pop()
             age_s = now_s - connection.last_response_s
             if connection.closed:
                 continue
-            if age_s <= min(fresh_s, connection.max_idle_s):
+            if age_s <= min(max_age_s, connection.max_idle_s):
                 return connection, True
             if age_s <= min(MAX_IDLE_S, connection.max_idle_s):
                 idle.append(connection)
--- a/src/rosepath/http_exchange.py
+++ b/src/rosepath/http_exchange.py
@@ -203,8 +203,8 @@
 
     def _deliver_body(self) -> None:
         if self._body_parts:
-            arrived = self._body_parts
-            data = arrived[0] if len(arrived) == 1 else b"".join(arrived)
+            parts = self._body_parts
+            data = parts[0] if len(parts) == 1 else b"".join(parts)
             self._body_parts = []
             try:
                 pending = self._on_data(data)
--- a/src/rosepath/platform/documents.py
+++ b/src/rosepath/platform/documents.py
@@ -222,23 +222,23 @@
 def decode_server(stored: StoredObject) -> ServerEntry | None:
     """Decode a backend server's entry, or log why it is invalid."""
     raw = _parse_object(stored)
-    read = _validate(_Server, raw, stored.name) if raw is not None else None
-    if read is None:
+    entry = _validate(_Server, raw, stored.name) if raw is not None else None
+    if entry is None:
         return None
     return ServerEntry(
         name=stored.name.partition("/")[2],
-        service=read.service,
-        address=read.address,
-        data_centre=read.zone,
-        slots=read.slots,
-        draining=read.state != "ready",
-        sequence=read.sequence,
-        born_ms=read.born,
+        service=entry.service,
+        address=entry.address,
+        data_centre=entry.zone,
+        slots=entry.slots,
+        draining=entry.state != "ready",
+        sequence=entry.sequence,
+        born_ms=entry.born,
         version=stored.version,
-        models={model.name: frozenset(model.adapters) for model in read.models},
-        in_memory=read.available.in_memory,
-        on_disk=read.available.on_disk,
-        remaining_s=None if read.remaining_ms is None else read.remaining_ms / 1000,
+        models={model.name: frozenset(model.adapters) for model in entry.models},
+        in_memory=entry.available.in_memory,
+        on_disk=entry.available.on_disk,
+        remaining_s=None if entry.remaining_ms is None else entry.remaining_ms / 1000,
     )
 
 
@@ -252,12 +252,12 @@
 
 
 def _parse_entries(raw: dict[str, Any], key: str, model: type[_M]) -> list[_M]:
-    listed = raw.get(key) or []
-    if not isinstance(listed, list):
+    items = raw.get(key) or []
+    if not isinstance(items, list):
         _log.warning("configuration_entry_skipped", name=key, why="not a list")
         return []
-    read = [_validate(model, entry, key) for entry in listed]
-    return [entry for entry in read if entry is not None]
+    entries = [_validate(model, entry, key) for entry in items]
+    return [entry for entry in entries if entry is not None]
 
 
 def _validate(model: type[_M], raw: Any, where: str) -> _M | None:
--- a/tests/test_platform_documents.py
+++ b/tests/test_platform_documents.py
@@ -169,6 +169,6 @@
     strict = {**ROUTE, "name": "r-3", "targetLatencyMs": 900, "targetGapMs": 150}
     catalog = decode_catalog(document(ROUTE, lenient, strict))
     assert catalog is not None
-    good = catalog.objectives["llm"]
-    assert (good.first_s, good.gap_s) == (0.6, 0.15)
+    strictest = catalog.objectives["llm"]
+    assert (strictest.first_s, strictest.gap_s) == (0.6, 0.15)
     assert "other" not in catalog.objectives
