--- a/benchmarks/entry_checks.py
+++ b/benchmarks/entry_checks.py
@@ -44,7 +44,7 @@
     """Rules checked on what callers received, given the faults injected."""
 
     fleet: EntryFleet
-    answered: list[CallerResponse]
+    responses: list[CallerResponse]
 
     def failures(self, *, timed: bool = True) -> dict[str, list[str]]:
         """Return the violations found, by rule.
@@ -73,7 +73,7 @@
     def _incomplete(self) -> list[str]:
         return [
             f"{response.request_id} {response.path} {response.body[:60]!r}"
-            for response in self.answered
+            for response in self.responses
             if response.status == 200 and response.body != _expected_body(response)
         ]
 
@@ -81,7 +81,7 @@
         runs = self.fleet.witness.runs
         return [
             response.request_id
-            for response in self.answered
+            for response in self.responses
             if response.path.startswith("/file/") and runs[response.request_id] > 1
         ]
 
@@ -89,7 +89,7 @@
         runs = self.fleet.witness.runs
         return [
             f"{response.request_id} {response.path} {response.status}"
-            for response in self.answered
+            for response in self.responses
             if response.status in (408, 421, 429, 503) and runs[response.request_id]
         ]
 
@@ -139,7 +139,7 @@
     def _wrongly_quarantined(self) -> list[str]:
         return [
             f"{response.request_id} {response.path}"
-            for response in self.answered
+            for response in self.responses
             if b"crashes_servers" in response.body
             and not response.path.startswith(CRASHING)
         ]
@@ -148,7 +148,7 @@
         return [
             f"{response.request_id} {response.path}"
             f" {response.ended_s - response.sent_s:.2f} s"
-            for response in self.answered
+            for response in self.responses
             if response.ended_s - response.sent_s > REQUEST_DEADLINE_S + 0.5
             and self.fleet.vms[response.vm].undisturbed(
                 response.sent_s - RECOVERY_S, response.ended_s
@@ -158,7 +158,7 @@
     def _outdated_configurations(self) -> list[str]:
         return [
             f"{response.request_id} {response.path} {response.status} by {response.vm}"
-            for response in self.answered
+            for response in self.responses
             if (route := self.fleet.added.get(response.path.split("/")[1])) is not None
             and self._used_older_configuration(response, route)
             and self._could_have_applied(response)
@@ -200,7 +200,7 @@
     def _cut_by_stop(self) -> list[str]:
         arrivals = self.fleet.witness.arrivals
         found = []
-        for response in self.answered:
+        for response in self.responses:
             vm = self.fleet.vms[response.vm]
             stopping = any(
                 response.sent_s < at_s < response.ended_s for at_s in vm.stopped_s
--- a/benchmarks/entry_soak.py
+++ b/benchmarks/entry_soak.py
@@ -62,7 +62,7 @@
     call_rng: random.Random
     store_rng: random.Random
     ends_s: float
-    answered: list[CallerResponse] = field(default_factory=list)
+    responses: list[CallerResponse] = field(default_factory=list)
     faults: Counter[str] = field(default_factory=Counter)
     request_count: int = 0
 
@@ -151,7 +151,7 @@
         except ExchangeError as error:
             if not error.sent:
                 return
-        self.answered.append(
+        self.responses.append(
             CallerResponse(
                 request_id, vm.name, path, sent_s, time.monotonic(), status, body
             )
@@ -290,11 +290,11 @@
 
     def failures(self, *, timed: bool = True) -> dict[str, list[str]]:
         """Return the violations found, by rule."""
-        return EntryChecks(self.fleet, self.answered).failures(timed=timed)
+        return EntryChecks(self.fleet, self.responses).failures(timed=timed)
 
 
 async def soak(
-    seed: int, *, lasts_s: float, vms: int = VMS, directory: Path
+    seed: int, *, duration_s: float, vms: int = VMS, directory: Path
 ) -> EntrySoak:
     """Run one seed on a new fleet."""
     fleet = EntryFleet(directory)
@@ -304,7 +304,7 @@
         random.Random(seed),
         random.Random(-seed),
         random.Random(f"store {seed}"),
-        time.monotonic() + lasts_s,
+        time.monotonic() + duration_s,
     )
     replacing = asyncio.create_task(run.replace_crashed_servers())
     try:
@@ -319,15 +319,17 @@
     """Run the seeds set in the environment and print the violations."""
     first = int(os.environ.get("SOAK_SEED", "1"))
     seeds = range(first, first + int(os.environ.get("SOAK_SEEDS", "1")))
-    lasts_s = float(os.environ.get("SOAK_S", "20"))
+    duration_s = float(os.environ.get("SOAK_S", "20"))
     for seed in seeds:
         directory = Path(tempfile.mkdtemp(prefix="entry-soak-"))
         vms = int(os.environ.get("SOAK_VMS", str(VMS)))
-        run = asyncio.run(soak(seed, lasts_s=lasts_s, vms=vms, directory=directory))
+        run = asyncio.run(
+            soak(seed, duration_s=duration_s, vms=vms, directory=directory)
+        )
         failures = run.failures()
-        statuses = Counter(response.status for response in run.answered)
+        statuses = Counter(response.status for response in run.responses)
         print(
-            f"seed {seed}: {len(run.answered)} requests {dict(statuses)}, faults"
+            f"seed {seed}: {len(run.responses)} requests {dict(statuses)}, faults"
             f" {dict(run.faults)}, broken {sum(map(len, failures.values()))},"
             f" stood still {len(run.fleet.stalls_s)} times"
         )
--- a/benchmarks/relay.py
+++ b/benchmarks/relay.py
@@ -189,7 +189,7 @@
         await asyncio.sleep(0.1)
     started_s = time.perf_counter()
     second = cluster.start_daemon("entry-2", "dc")
-    await cluster.until(lambda: cluster._answers(second.callers, "/readyz"))
+    await cluster.until(lambda: cluster.responds_ok(second.callers, "/readyz"))
     ready_s = time.perf_counter() - started_s
     return [[idle / 1e6, (peak - idle) / 400 / 1e3, ready_s]]
 
--- a/benchmarks/routing.py
+++ b/benchmarks/routing.py
@@ -120,7 +120,7 @@
     request_id = uuid.uuid4().hex
     started_s = time.monotonic()
     first_s: list[float] = []
-    replica.own_starts[request_id] = started_s
+    replica.own_start_times[request_id] = started_s
 
     def on_bytes(_: bytes) -> None:
         if not first_s:
@@ -141,7 +141,7 @@
     finally:
         took_s = time.monotonic() - started_s
         replica.hold_s += 0.1 * (took_s - replica.hold_s)
-        replica.own_starts.pop(request_id, None)
+        replica.own_start_times.pop(request_id, None)
     return first_s[0] if first_s else None
 
 
--- a/src/rosepath/attempt.py
+++ b/src/rosepath/attempt.py
@@ -10,12 +10,12 @@
 from rosepath.event_sequence import EventSequence, EventSequenceError
 from rosepath.fleet import BackendServer
 from rosepath.http_client import HttpPool, Request, ResponseHead
-from rosepath.http_exchange import says_its_end
+from rosepath.http_exchange import is_self_delimited
 from rosepath.platform.calls import (
-    AnswerFacts,
-    belongs_to,
+    ResponseMetadata,
     encode_headers,
-    read_answer,
+    is_response_to,
+    read_response_metadata,
 )
 from rosepath.retries import Evidence
 from rosepath.server_notice import ServerNotice
@@ -62,13 +62,13 @@
     """Hold a backend server's response; `body` omits events of a stream."""
 
     head: ResponseHead
-    facts: AnswerFacts
+    facts: ResponseMetadata
     body: bytes = b""
 
     @property
     def delimited(self) -> bool:
         """Return whether the headers, not the close, delimit the body."""
-        return says_its_end(self.head.headers)
+        return is_self_delimited(self.head.headers)
 
     @property
     def success(self) -> bool:
@@ -93,7 +93,7 @@
     priority: int | None = None
     last_event_id: int | None = None
     still_wanted: Callable[[], bool] = lambda: True
-    may_break_off: Callable[[], bool] = lambda: True
+    may_abort: Callable[[], bool] = lambda: True
     on_notice: Callable[[ServerNotice], None] = lambda _: None
 
 
@@ -122,10 +122,10 @@
         they arrive, each once and in order.
         """
         body: list[bytes] = []
-        heads: list[tuple[ResponseHead, AnswerFacts]] = []
+        heads: list[tuple[ResponseHead, ResponseMetadata]] = []
 
         def on_head(head: ResponseHead) -> None:
-            facts = read_answer(head.status, head.headers)
+            facts = read_response_metadata(head.status, head.headers)
             heads.append((head, facts))
             options.on_notice(facts.notice)
 
@@ -156,9 +156,9 @@
             progress_timeout_s=options.response_timeout_s,
             pause_timeout_s=options.stall_timeout_s,
             proven_live_within_s=None if options.retryable else PROVEN_LIVE_WITHIN_S,
-            accepts=lambda head: belongs_to(call, head.headers),
+            accepts=lambda head: is_response_to(call, head.headers),
             still_wanted=options.still_wanted,
-            may_break_off=options.may_break_off,
+            may_abort=options.may_abort,
         )
         try:
             async with asyncio.timeout(options.deadline_s - now_s):
@@ -170,7 +170,7 @@
         except TimeoutError as error:
             raise AttemptError(
                 "no whole answer in time",
-                step=Step.ANSWER,
+                step=Step.RESPONSE,
                 peer=server.name,
                 evidence=_evidence_of(event_sequence),
                 timed_out=True,
@@ -186,7 +186,7 @@
         if facts.not_run:
             raise AttemptError(
                 f"refused with {head.status}",
-                step=Step.ANSWER,
+                step=Step.RESPONSE,
                 peer=server.name,
                 evidence=Evidence.REFUSED,
                 status=head.status,
@@ -194,7 +194,7 @@
         if not facts.signed or facts.encoded:
             raise AttemptError(
                 f"an answer of {head.status} that is not the server's",
-                step=Step.ANSWER,
+                step=Step.RESPONSE,
                 peer=server.name,
                 evidence=_evidence_of(event_sequence),
                 status=head.status,
@@ -214,7 +214,7 @@
         self,
         error: ExchangeError,
         event_sequence: EventSequence | None,
-        heads: list[tuple[ResponseHead, AnswerFacts]],
+        heads: list[tuple[ResponseHead, ResponseMetadata]],
     ) -> AttemptError:
         evidence = _evidence_of(event_sequence)
         if not error.sent:
--- a/src/rosepath/backend.py
+++ b/src/rosepath/backend.py
@@ -82,7 +82,7 @@
     connect_timeout_s: float = 1.0
     progress_timeout_s: float = 10.0
     proven_live_within_s: float | None = None
-    may_break_off: Callable[[], bool] = lambda: True
+    may_abort: Callable[[], bool] = lambda: True
 
 
 class BackendPort(Protocol):
--- a/src/rosepath/backend_http.py
+++ b/src/rosepath/backend_http.py
@@ -97,7 +97,7 @@
             connect_timeout_s=policy.connect_timeout_s,
             progress_timeout_s=policy.progress_timeout_s,
             proven_live_within_s=policy.proven_live_within_s,
-            may_break_off=policy.may_break_off,
+            may_abort=policy.may_abort,
         )
         await self.pool.exchange(request, on_head=on_head, on_data=on_data)
         if status != 200:
@@ -157,7 +157,7 @@
         if raw["ran"] is False:
             code = str(raw.get("code", "refused"))
             return NotRunError(
-                f"refused: {code}", step=Step.ANSWER, peer=address, code=code
+                f"refused: {code}", step=Step.RESPONSE, peer=address, code=code
             )
     except (ValueError, KeyError, TypeError):
         pass
@@ -166,5 +166,5 @@
 
 def _exchange_error(address: str, message: str) -> ExchangeError:
     return ExchangeError(
-        message, step=Step.ANSWER, peer=address, sent=True, answered=False
+        message, step=Step.RESPONSE, peer=address, sent=True, answered=False
     )
--- a/src/rosepath/crash_watch.py
+++ b/src/rosepath/crash_watch.py
@@ -14,7 +14,7 @@
     ServerInstance,
 )
 from rosepath.fleet import BackendServer
-from rosepath.http_client import Contact
+from rosepath.http_client import ProbeResult
 from rosepath.isolated_runs import IsolatedRuns
 from rosepath.logs import get_logger
 
@@ -30,7 +30,7 @@
 class Probe(Protocol):
     """Test whether an address accepts connections."""
 
-    async def __call__(self, address: str, *, limit_s: float) -> Contact: ...
+    async def __call__(self, address: str, *, limit_s: float) -> ProbeResult: ...
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
@@ -97,9 +97,9 @@
             contact = await self._probe(address, limit_s=PROBE_TIMEOUT_S)
         finally:
             del self._probes[instance]
-        if contact is Contact.REFUSED:
+        if contact is ProbeResult.REFUSED:
             self.note_crashed(instance)
-        elif contact is Contact.ACCEPTED:
+        elif contact is ProbeResult.ACCEPTED:
             self._drop_lost(instance, until_s=begun_s)
 
     def note_crashed(self, instance: ServerInstance) -> None:
--- a/src/rosepath/deadlines.py
+++ b/src/rosepath/deadlines.py
@@ -20,7 +20,7 @@
     except TimeoutError as error:
         raise ExchangeError(
             "no whole answer in time",
-            step=Step.ANSWER,
+            step=Step.RESPONSE,
             peer=peer,
             sent=True,
             timed_out=True,
--- a/src/rosepath/dispatch.py
+++ b/src/rosepath/dispatch.py
@@ -146,7 +146,7 @@
             forwarded = checker.feed(data)
             return on_events(forwarded) if forwarded else None
 
-        def may_break_off() -> bool:
+        def may_abort() -> bool:
             history.retry_reserved = self._may_abort(
                 replica, generation, request_options, checker, history
             )
@@ -160,7 +160,7 @@
         with self.telemetry.tracer.start_as_current_span(
             "backend.generate", context=context, attributes=attributes
         ) as span:
-            replica.own_starts[key] = started_s
+            replica.own_start_times[key] = started_s
             try:
                 async with exchange_timeout(
                     request_options.deadline_s - started_s, replica.name
@@ -169,19 +169,19 @@
                         replica.address,
                         replace(generation, traceparent=traceparent_of(span)),
                         on_bytes,
-                        self._send_policy(request_options, may_break_off),
+                        self._send_policy(request_options, may_abort),
                     )
             except asyncio.CancelledError:
                 self._cancel_later(replica, generation.request_id)
                 raise
             finally:
-                replica.own_starts.pop(key, None)
+                replica.own_start_times.pop(key, None)
         if not checker.complete:
             raise StreamBrokenError("the answer ended without its end marker")
         note_success(replica, held_s=self._clock.monotonic_s() - started_s)
 
     def _send_policy(
-        self, request_options: RequestOptions, may_break_off: Callable[[], bool]
+        self, request_options: RequestOptions, may_abort: Callable[[], bool]
     ) -> SendPolicy:
         # A middlebox that has dropped a connection's state discards a request
         # without an error, so it is unknown whether the request ran.
@@ -194,7 +194,7 @@
             connect_timeout_s=self.settings.connect_timeout_s,
             progress_timeout_s=self.settings.progress_timeout_s,
             proven_live_within_s=max_idle_s,
-            may_break_off=may_break_off,
+            may_abort=may_abort,
         )
 
     def _may_abort(
--- a/src/rosepath/engine_views.py
+++ b/src/rosepath/engine_views.py
@@ -14,7 +14,7 @@
 ) -> EngineView:
     """Return the planner's view of an engine."""
     local_load_s = {
-        name: model_load_s(server, spec.models[name])
+        name: load_duration_s(server, spec.models[name])
         for name in server.entry.on_disk | server.entry.in_memory
         if name in spec.models
     }
@@ -48,7 +48,7 @@
     )
 
 
-def model_load_s(server: BackendServer, model: ModelSpec) -> float:
+def load_duration_s(server: BackendServer, model: ModelSpec) -> float:
     """Return how long a load takes from the fastest storage that has it."""
     if model.name in server.entry.in_memory:
         return model.warm_load_s
@@ -61,5 +61,5 @@
     """Return how long a swap will take, including the unloads before it."""
     in_use = server.models_in_use
     waits = any(in_use[victim] for victim in swap.victims)
-    load_s = model_load_s(server, spec.models[swap.model])
+    load_s = load_duration_s(server, spec.models[swap.model])
     return load_s + (IN_USE_WAIT_S if waits else 0.0)
--- a/src/rosepath/entry_node.py
+++ b/src/rosepath/entry_node.py
@@ -30,7 +30,7 @@
 from rosepath.peer_table import PeerTable
 from rosepath.placement_coordinator import PlacementCoordinator
 from rosepath.platform.calls import READY_PATH
-from rosepath.platform.engines import EngineCalls
+from rosepath.platform.engines import EngineClient
 from rosepath.platform.store import PlatformStore, StoreAccess
 from rosepath.prompt_caches import PromptCaches
 from rosepath.relay import Relay
@@ -136,7 +136,7 @@
             settings,
             clock=self.clock,
             store=self.store,
-            engines=EngineCalls(pool=self.pool, on_notice=self._apply_notice),
+            engines=EngineClient(pool=self.pool, on_notice=self._apply_notice),
             fleet=self.tables.fleet,
             caches=self.caches,
             catalog=lambda: self.tables.catalog,
--- a/src/rosepath/errors.py
+++ b/src/rosepath/errors.py
@@ -22,7 +22,7 @@
     CLAIM = "claim"
     CONNECT = "connect"
     SEND = "send"
-    ANSWER = "answer"
+    RESPONSE = "answer"
     STREAM = "stream"
     STORE = "store"
     DEFER = "defer"
--- a/src/rosepath/http_client.py
+++ b/src/rosepath/http_client.py
@@ -41,7 +41,7 @@
 __all__ = ["Contact", "HttpPool", "Request", "ResponseHead"]
 
 
-class Contact(StrEnum):
+class ProbeResult(StrEnum):
     """Enumerate the results of trying to connect to an address."""
 
     ACCEPTED = "accepted"
@@ -68,7 +68,7 @@
     # Called once connected, before the first byte is sent; False cancels.
     still_wanted: Callable[[], bool] = lambda: True
     # Called when an inactivity timeout expires; False restarts it.
-    may_break_off: Callable[[], bool] = lambda: True
+    may_abort: Callable[[], bool] = lambda: True
 
 
 class HttpPool:
@@ -141,7 +141,7 @@
             if not returned:
                 connection.close()
 
-    async def probe(self, address: str, *, limit_s: float) -> Contact:
+    async def probe(self, address: str, *, limit_s: float) -> ProbeResult:
         """Test whether an address accepts connections.
 
         An accepted connection is kept for the next request.
@@ -152,9 +152,9 @@
         try:
             connection = await self._connect(request)
         except ExchangeError as error:
-            return Contact.UNKNOWN if error.timed_out else Contact.REFUSED
+            return ProbeResult.UNKNOWN if error.timed_out else ProbeResult.REFUSED
         self._release(address, connection)
-        return Contact.ACCEPTED
+        return ProbeResult.ACCEPTED
 
     async def _acquire(self, request: Request) -> tuple[Connection, bool]:
         now_s = self._clock.monotonic_s()
@@ -210,7 +210,7 @@
             exchange,
             request.progress_timeout_s,
             pause_timeout_s=request.pause_timeout_s,
-            may_close=request.may_break_off,
+            may_close=request.may_abort,
         )
         try:
             connection.write(_encode_head(request) + request.body)
@@ -256,7 +256,7 @@
     ) -> ExchangeError:
         return ExchangeError(
             "peer went silent" if watchdog.fired else f"answer {problem}",
-            step=Step.ANSWER if exchange.head else Step.SEND,
+            step=Step.RESPONSE if exchange.head else Step.SEND,
             peer=request.address,
             sent=True,
             answered=exchange.head is not None,
--- a/src/rosepath/http_exchange.py
+++ b/src/rosepath/http_exchange.py
@@ -250,7 +250,7 @@
         if (
             self._connection.closed_by_peer
             and self.head is not None
-            and not says_its_end(self._headers)
+            and not is_self_delimited(self._headers)
         ):
             # Without a length, an orderly close by the peer ends the
             # response. After a reset or a local close, it is incomplete.
@@ -265,12 +265,12 @@
             self.finished
             and not self._is_extra
             and not self._is_head_request
-            and says_its_end(self._headers)
+            and is_self_delimited(self._headers)
             and self._keep_alive
         )
 
 
-def says_its_end(headers: HTTPHeaders) -> bool:
+def is_self_delimited(headers: HTTPHeaders) -> bool:
     """Return whether the headers delimit the response's body."""
     return "Content-Length" in headers or "Transfer-Encoding" in headers
 
--- a/src/rosepath/peer_configuration.py
+++ b/src/rosepath/peer_configuration.py
@@ -162,7 +162,7 @@
         except (KeyError, ValueError, zlib.error) as error:
             raise ExchangeError(
                 f"not a configuration: {error}",
-                step=Step.ANSWER,
+                step=Step.RESPONSE,
                 peer=address,
                 sent=True,
                 answered=True,
--- a/src/rosepath/placement_view.py
+++ b/src/rosepath/placement_view.py
@@ -92,7 +92,7 @@
     # A missing report does not prove that the copies are lost: the data centre
     # may have just started. Its copies count until the last report, or the
     # creation of the row, is REMOTE_REPORT_MAX_AGE_S old.
-    last_report_at_s = replica.reported_at_s or replica.known_since_s
+    last_report_at_s = replica.reported_at_s or replica.first_seen_s
     used = sum(sizes.get(target, 0) for target in replica.resident)
     return EngineView(
         name=replica.name,
--- a/src/rosepath/platform/calls.py
+++ b/src/rosepath/platform/calls.py
@@ -67,7 +67,7 @@
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
-class AnswerFacts:
+class ResponseMetadata:
     """Hold what the headers of a backend server's response state.
 
     `signed` is True if the backend server ran the request and signed the
@@ -81,7 +81,7 @@
     notice: ServerNotice
 
 
-def decode_call(
+def decode_caller_request(
     *,
     method: str,
     path: str,
@@ -130,15 +130,15 @@
     return headers
 
 
-def belongs_to(call: CallerRequest, headers: HTTPHeaders) -> bool:
+def is_response_to(call: CallerRequest, headers: HTTPHeaders) -> bool:
     """Return whether a response echoes this request's id, or none."""
     return headers.get(_REQUEST_ID, call.request_id) == call.request_id
 
 
-def read_answer(status: int, headers: HTTPHeaders) -> AnswerFacts:
+def read_response_metadata(status: int, headers: HTTPHeaders) -> ResponseMetadata:
     """Read the headers of a backend server's response."""
     signed = _SIGNATURE in headers
-    return AnswerFacts(
+    return ResponseMetadata(
         signed=signed,
         not_run=_NOT_RUN in headers or (status == 421 and not signed),
         encoded="Content-Encoding" in headers,
@@ -158,7 +158,7 @@
     )
 
 
-def answer_headers(headers: HTTPHeaders) -> HTTPHeaders:
+def forwarded_headers(headers: HTTPHeaders) -> HTTPHeaders:
     """Return the headers of a response that are forwarded to the caller."""
     forwarded = HTTPHeaders()
     for name, value in headers.get_all():
--- a/src/rosepath/platform/engines.py
+++ b/src/rosepath/platform/engines.py
@@ -26,7 +26,7 @@
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
-class EngineCalls:
+class EngineClient:
     """Implement the engine interface over pooled connections."""
 
     pool: HttpPool
@@ -99,7 +99,7 @@
         except (ValueError, KeyError, TypeError, AttributeError) as error:
             raise ExchangeError(
                 f"report cannot be read: {error}",
-                step=Step.ANSWER,
+                step=Step.RESPONSE,
                 peer=address,
                 sent=True,
             ) from error
--- a/src/rosepath/poller.py
+++ b/src/rosepath/poller.py
@@ -35,7 +35,7 @@
     for name, server in declared.items():
         row = tables.replicas.get(name)
         if row is None:
-            row = Replica(name=name, known_since_s=now_s)
+            row = Replica(name=name, first_seen_s=now_s)
             tables.replicas[name] = row
         row.data_centre = server.data_centre
         row.address = server.address
--- a/src/rosepath/relay.py
+++ b/src/rosepath/relay.py
@@ -17,7 +17,11 @@
 from rosepath.gateway import CallerExchange
 from rosepath.http_client import ResponseHead
 from rosepath.logs import get_logger
-from rosepath.platform.calls import answer_headers, decode_call, refusal_headers
+from rosepath.platform.calls import (
+    decode_caller_request,
+    forwarded_headers,
+    refusal_headers,
+)
 from rosepath.request_context import RETRY_AFTER_S, RelayPorts, RequestContext
 from rosepath.retries import Evidence
 from rosepath.retry_policy import RetryPolicy
@@ -61,7 +65,7 @@
         """Answer one request with a server's response or with a refusal."""
         request_id = ""
         try:
-            call = decode_call(
+            call = decode_caller_request(
                 method=exchange.method,
                 path=exchange.path,
                 headers=exchange.headers,
@@ -192,7 +196,7 @@
         note_error(server)
         error = AttemptError(
             f"the server answered {answer.head.status}",
-            step=Step.ANSWER,
+            step=Step.RESPONSE,
             peer=server.name,
             evidence=Evidence.SENT,
         )
@@ -215,7 +219,7 @@
             flight.unread_tokens = 0
             self._suspects.note_events(context, flight)
             if not context.exchange.begun:
-                context.exchange.begin(head.status, answer_headers(head.headers))
+                context.exchange.begin(head.status, forwarded_headers(head.headers))
             return context.exchange.write(events)
 
         event_sequence = context.event_sequence
@@ -241,7 +245,7 @@
                 and self._ports.fleet_fresh_enough()
                 and self._suspects.may_be_sent(context)
             ),
-            may_break_off=lambda: self._retry_policy.should_leave(context, server),
+            may_abort=lambda: self._retry_policy.should_leave(context, server),
             on_notice=lambda notice: self._apply_notice(server, notice),
         )
         self._retry_policy.consume_retry(context)
@@ -321,7 +325,7 @@
             exchange.end()
         else:
             exchange.answer(
-                answer.head.status, answer_headers(answer.head.headers), answer.body
+                answer.head.status, forwarded_headers(answer.head.headers), answer.body
             )
         self._ports.on_outcome(context, answer.head.status, "")
 
--- a/src/rosepath/services.py
+++ b/src/rosepath/services.py
@@ -216,7 +216,7 @@
         key = f"{id(call)}.{started_s}"
         settings = self._dispatcher.settings
 
-        def may_break_off() -> bool:
+        def may_abort() -> bool:
             history.retry_reserved = self._dispatcher.may_abort_attempt(
                 _as_attempt(
                     response.evidence_after_send,
@@ -247,9 +247,9 @@
                 proven_live_within_s=None
                 if request_options.idempotent
                 else settings.proven_live_within_s,
-                may_break_off=may_break_off,
+                may_abort=may_abort,
             )
-            replica.own_starts[key] = started_s
+            replica.own_start_times[key] = started_s
             try:
                 async with exchange_timeout(
                     request_options.deadline_s - started_s, replica.name
@@ -264,7 +264,7 @@
                 evidence = response.evidence_after_send
                 return evidence if error.sent else Evidence.NOT_SENT, str(error)
             finally:
-                replica.own_starts.pop(key, None)
+                replica.own_start_times.pop(key, None)
         if head.headers.get(RUN_HEADER) == "no":
             retry_at_s = clock_s() + read_retry_after_s(head.headers)
             replica.backoff_until_s = max(replica.backoff_until_s, retry_at_s)
--- a/src/rosepath/swap_executor.py
+++ b/src/rosepath/swap_executor.py
@@ -8,7 +8,7 @@
 from rosepath.clock import Clock
 from rosepath.engine_orders import EnginePort, EngineRecord, OrderAction, OrderReply
 from rosepath.engine_plan_state import Swap
-from rosepath.engine_views import model_load_s, used_mb
+from rosepath.engine_views import load_duration_s, used_mb
 from rosepath.errors import ExchangeError
 from rosepath.fleet import BackendServer
 from rosepath.order_sender import POLL_INTERVAL_S, OrderSender
@@ -92,7 +92,7 @@
             if not await self._load(server, record, swap.model):
                 return
             self._half_finished.discard(server.name)
-            load_s = model_load_s(server, spec.models[swap.model])
+            load_s = load_duration_s(server, spec.models[swap.model])
             record.load_due_s = now_s() + load_s
             await asyncio.sleep(load_s)
             limit_s = now_s() + MAX_LOAD_SLOWDOWN * spec.models[swap.model].load_s
--- a/src/rosepath/tables.py
+++ b/src/rosepath/tables.py
@@ -51,11 +51,11 @@
     running_by_target: dict[str, int] = field(default_factory=dict)
     reported_at_s: float | None = None
     other_vms_load: float = 0.0
-    known_since_s: float = 0.0
+    first_seen_s: float = 0.0
     reachable: bool = True
     leaving: bool = False
     draining: bool = False
-    own_starts: dict[str, float] = field(default_factory=dict)
+    own_start_times: dict[str, float] = field(default_factory=dict)
     hold_s: float = 0.5
     suspect_until_s: float = 0.0
     # End of the backoff that the server requested when it rejected a call.
@@ -64,7 +64,7 @@
 
     @property
     def own_in_flight(self) -> int:
-        return len(self.own_starts)
+        return len(self.own_start_times)
 
     def load(self) -> float:
         """Return own requests in flight plus the smoothed load of other VMs.
--- a/src/rosepath_standins/cluster.py
+++ b/src/rosepath_standins/cluster.py
@@ -293,9 +293,9 @@
             await self._until_answers(self.platform.address, "/admin/calls")
 
     async def _until_answers(self, address: str, path: str) -> None:
-        await self.until(lambda: self._answers(address, path))
+        await self.until(lambda: self.responds_ok(address, path))
 
-    async def _answers(self, address: str, path: str) -> bool:
+    async def responds_ok(self, address: str, path: str) -> bool:
         head, _ = await self.request(address, "GET", path, timeout_s=1.0)
         return head.status == 200
 
--- a/tests/crashing_servers.py
+++ b/tests/crashing_servers.py
@@ -15,7 +15,7 @@
 from virtual_time import now_s
 
 from rosepath.errors import ExchangeError, Step
-from rosepath.http_client import Contact, Request, ResponseHead
+from rosepath.http_client import ProbeResult, Request, ResponseHead
 from rosepath.request_context import RequestContext
 from rosepath.server_picker import QUARANTINED_CODE
 
@@ -97,9 +97,9 @@
         unrelated = not context.call.path.startswith(CRASHING_PATH)
         self.quarantined_unrelated += unrelated and code == QUARANTINED_CODE
 
-    async def _probe(self, address: str, *, limit_s: float) -> Contact:
+    async def _probe(self, address: str, *, limit_s: float) -> ProbeResult:
         await asyncio.sleep(WAY_S)
-        return Contact.ACCEPTED if self.servers[address].up else Contact.REFUSED
+        return ProbeResult.ACCEPTED if self.servers[address].up else ProbeResult.REFUSED
 
     def _serve_as(self, name: str) -> Callable[..., Any]:
         async def exchange(request: Request, *, on_head: Any, on_data: Any) -> Any:
--- a/tests/entry_builders.py
+++ b/tests/entry_builders.py
@@ -19,7 +19,7 @@
 from rosepath.engine_plan_state import EngineView
 from rosepath.entry_settings import EntrySettings
 from rosepath.fleet import BackendServer, ServerEntry
-from rosepath.http_client import Contact
+from rosepath.http_client import ProbeResult
 from rosepath.peer_messages import PeerState
 from rosepath.request_context import RelayPorts
 from rosepath.server_picker import ServerPicker
@@ -193,10 +193,12 @@
     )
 
 
-def a_crash_watch(clock: Clock, *, contact: Contact = Contact.ACCEPTED) -> CrashWatch:
+def a_crash_watch(
+    clock: Clock, *, contact: ProbeResult = ProbeResult.ACCEPTED
+) -> CrashWatch:
     """Build a watch before servers that all do the same with new connections."""
 
-    async def probe(address: str, *, limit_s: float) -> Contact:
+    async def probe(address: str, *, limit_s: float) -> ProbeResult:
         return contact
 
     return CrashWatch("vm-1", clock=clock, probe=probe, on_change=lambda: None)
--- a/tests/test_callers.py
+++ b/tests/test_callers.py
@@ -257,7 +257,7 @@
         daemon = shared.start_daemon(
             "entry-9", "casa-a", platform_address="127.0.0.1:9", seeds=[]
         )
-        await shared.until(lambda: shared._answers(daemon.callers, "/livez"))
+        await shared.until(lambda: shared.responds_ok(daemon.callers, "/livez"))
         head, body = await shared.request(
             daemon.callers,
             "GET",
--- a/tests/test_crash_watch.py
+++ b/tests/test_crash_watch.py
@@ -9,13 +9,13 @@
 from rosepath.crash_records import Exposure, Suspicion
 from rosepath.crash_watch import LOST_RUN_TTL_S, CrashWatch, LostRun, instance_of
 from rosepath.fleet import BackendServer
-from rosepath.http_client import Contact
+from rosepath.http_client import ProbeResult
 
 AfterLoss = Callable[[CrashWatch, BackendServer, ManualClock], None]
 
 
 def suspicion_after(
-    contact: Contact,
+    contact: ProbeResult,
     *,
     after_loss: AfterLoss = lambda *_: None,
     draining: bool = False,
@@ -54,22 +54,22 @@
 
 
 def test_server_that_refuses_connections_after_a_lost_run_crashed() -> None:
-    assert suspicion_after(Contact.REFUSED) is Suspicion.SUSPECT
+    assert suspicion_after(ProbeResult.REFUSED) is Suspicion.SUSPECT
 
 
 # Guards against suspecting requests whose connections a middlebox reset.
 def test_connection_reset_by_a_listening_server_is_no_crash() -> None:
-    assert suspicion_after(Contact.ACCEPTED) is Suspicion.CLEAR
-    assert suspicion_after(Contact.ACCEPTED, after_loss=crashed) is Suspicion.CLEAR
+    assert suspicion_after(ProbeResult.ACCEPTED) is Suspicion.CLEAR
+    assert suspicion_after(ProbeResult.ACCEPTED, after_loss=crashed) is Suspicion.CLEAR
 
 
 def test_unresponsive_server_crashed_once_its_entry_is_removed() -> None:
-    assert suspicion_after(Contact.UNKNOWN) is Suspicion.CLEAR
-    assert suspicion_after(Contact.UNKNOWN, after_loss=crashed) is Suspicion.SUSPECT
+    assert suspicion_after(ProbeResult.UNKNOWN) is Suspicion.CLEAR
+    assert suspicion_after(ProbeResult.UNKNOWN, after_loss=crashed) is Suspicion.SUSPECT
 
 
 def test_crash_long_after_a_lost_run_is_not_related_to_it() -> None:
-    later = suspicion_after(Contact.UNKNOWN, after_loss=crashed_much_later)
+    later = suspicion_after(ProbeResult.UNKNOWN, after_loss=crashed_much_later)
     assert later is Suspicion.CLEAR
 
 
@@ -87,7 +87,7 @@
 
 # Guards against suspecting requests at the end of a planned departure.
 def test_departure_of_a_draining_server_is_no_crash() -> None:
-    assert suspicion_after(Contact.REFUSED, draining=True) is Suspicion.CLEAR
+    assert suspicion_after(ProbeResult.REFUSED, draining=True) is Suspicion.CLEAR
 
 
 # Guards against a burst of connections to a server that just lost many runs.
@@ -95,11 +95,11 @@
     async def run() -> int:
         clock, server, probes = ManualClock(), a_server("s1"), 0
 
-        async def probe(address: str, *, limit_s: float) -> Contact:
+        async def probe(address: str, *, limit_s: float) -> ProbeResult:
             nonlocal probes
             probes += 1
             await asyncio.sleep(0)
-            return Contact.REFUSED
+            return ProbeResult.REFUSED
 
         watch = CrashWatch("vm-1", clock=clock, probe=probe, on_change=lambda: None)
         lost = [a_run(clock, request_id=f"q{number}") for number in range(20)]
--- a/tests/test_entry_soak.py
+++ b/tests/test_entry_soak.py
@@ -12,7 +12,7 @@
 
 
 def _play(seed: int, directory: Path) -> EntrySoak:
-    return asyncio.run(soak(seed, lasts_s=LASTS_S, directory=directory))
+    return asyncio.run(soak(seed, duration_s=LASTS_S, directory=directory))
 
 
 # Guards against faults that only real processes, sockets and signals show. What hangs
@@ -21,7 +21,7 @@
 def test_a_short_soak_breaks_no_promise(tmp_path: Path, seed: int) -> None:
     run = _play(seed, tmp_path)
     assert run.failures(timed=False) == {}
-    assert sum(one.status == 200 for one in run.answered) > 100
+    assert sum(one.status == 200 for one in run.responses) > 100
 
 
 # Guards against entry VMs that go by an older configuration than was acknowledged: one
@@ -30,6 +30,6 @@
     run = _play(108, tmp_path)
     assert run.failures(timed=False) == {}
     assert "configurations in force" not in run.failures()
-    asked = Counter(one.status for one in run.answered if one.path.startswith("/new-"))
+    asked = Counter(one.status for one in run.responses if one.path.startswith("/new-"))
     assert asked[200] > 20
     assert asked[404] > 0
--- a/tests/test_http_client.py
+++ b/tests/test_http_client.py
@@ -7,7 +7,7 @@
 
 from rosepath.clock import ManualClock
 from rosepath.errors import ExchangeError
-from rosepath.http_client import Contact, HttpPool, Request
+from rosepath.http_client import HttpPool, ProbeResult, Request
 
 Handler = Callable[[asyncio.StreamReader, asyncio.StreamWriter], Awaitable[None]]
 OK = b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok"
@@ -283,11 +283,11 @@
         pool = HttpPool(clock=ManualClock())
         async with Server(respond_with(OK)) as server:
             contact = await pool.probe(server.address, limit_s=1.0)
-            assert contact is Contact.ACCEPTED
+            assert contact is ProbeResult.ACCEPTED
             await pool.fetch(server.request())
             assert server.connections == 1
         pool.close()
         contact = await pool.probe(server.address, limit_s=1.0)
-        assert contact is Contact.REFUSED
+        assert contact is ProbeResult.REFUSED
 
     asyncio.run(run())
--- a/tests/test_routing.py
+++ b/tests/test_routing.py
@@ -33,12 +33,12 @@
 
 
 def test_own_requests_are_added_to_a_stale_report() -> None:
-    busy = replica("a", own_starts={str(n): 5.0 for n in range(6)})
+    busy = replica("a", own_start_times={str(n): 5.0 for n in range(6)})
     assert choose([busy, replica("b", running=2)]) == "b"
 
 
 def test_own_requests_in_the_report_are_counted_once() -> None:
-    row = replica("a", own_starts={"x": -1.0}, reported_at_s=None)
+    row = replica("a", own_start_times={"x": -1.0}, reported_at_s=None)
     for second in range(40):
         row.note_report(running=3, queued=0, at_s=float(second))
     assert round(row.load(), 3) == 3
@@ -75,7 +75,7 @@
     # All entry VMs choose the same replica for a prefix, so each limits its
     # own requests, of which it has an exact count.
     home, other = replica("a"), replica("b")
-    home.own_starts = {"x": 0.0, "y": 0.0}
+    home.own_start_times = {"x": 0.0, "y": 0.0}
     assert choose([home, other], prefix_home="a") == "b"
 
 
--- a/tests/test_server_notices.py
+++ b/tests/test_server_notices.py
@@ -34,7 +34,7 @@
 from rosepath.errors import ExchangeError
 from rosepath.http_client import Request, ResponseHead
 from rosepath.platform.calls import read_notice
-from rosepath.platform.engines import EngineCalls
+from rosepath.platform.engines import EngineClient
 from rosepath.retry_after import BACKOFF_MAX_S
 from rosepath.server_choice import note_backoff
 from rosepath.server_notice import NO_NOTICE, ServerNotice
@@ -273,7 +273,7 @@
             return ResponseHead(status, headers), b"{}"
 
     async def play_calls() -> None:
-        calls = EngineCalls(
+        calls = EngineClient(
             pool=cast(Any, Pool()), on_notice=lambda *told: heard.append(told)
         )
         order = Order(
