--- a/src/rosepath/attempt.py
+++ b/src/rosepath/attempt.py
@@ -81,7 +81,7 @@
 
     `response_timeout_s` limits the silence before the response begins,
     `stall_timeout_s` the silence after. `still_wanted` is called right before
-    the first byte is sent, and `may_break_off` before an exchange with a
+    the first byte is sent, and `may_abort` before an exchange with a
     silent server is ended. `on_notice` receives the notice in the response's
     headers.
     """
--- a/src/rosepath/backend.py
+++ b/src/rosepath/backend.py
@@ -76,7 +76,7 @@
 
     A pooled connection is used only if it received a response within
     `proven_live_within_s`; None means the pool's own idle limit. When the
-    progress timeout expires, `may_break_off` returns whether to abort.
+    progress timeout expires, `may_abort` returns whether to abort.
     """
 
     connect_timeout_s: float = 1.0
--- a/src/rosepath/http_client.py
+++ b/src/rosepath/http_client.py
@@ -38,7 +38,7 @@
 TCP_USER_TIMEOUT_MS = 1500
 KEEPALIVE_IDLE_S = 1
 
-__all__ = ["Contact", "HttpPool", "Request", "ResponseHead"]
+__all__ = ["HttpPool", "ProbeResult", "Request", "ResponseHead"]
 
 
 class ProbeResult(StrEnum):
--- a/src/rosepath/tables.py
+++ b/src/rosepath/tables.py
@@ -35,7 +35,7 @@
     """Hold the known state of one backend server.
 
     Times are local and monotonic: `reported_at_s` is when the last report was
-    true, `known_since_s` when the row was created, and `own_starts` the start
+    true, `first_seen_s` when the row was created, and `own_start_times` the start
     times of this entry VM's requests in flight.
     """
 
