--- a/src/rosepath_standins/__init__.py
+++ b/src/rosepath_standins/__init__.py
@@ -1,1 +1,1 @@
-"""Small stand-ins for the platform, model engines and plain services."""
+"""Simulated platform, model engines and plain services for tests and demos."""
--- a/src/rosepath_standins/cluster.py
+++ b/src/rosepath_standins/cluster.py
@@ -1,4 +1,7 @@
-"""Start stand-ins and daemons as real processes, for demos, tests and benchmarks."""
+"""Start simulated components and daemons as real processes.
+
+Used by the demo, the tests and the benchmarks.
+"""
 
 import asyncio
 import hashlib
@@ -19,39 +22,39 @@
 
 START_TIMEOUT_S = 20.0
 POLL_S = 0.02
-PORTS = (12_000, 32_000)
+PORT_RANGE = (12_000, 32_000)
 
 
-_given: set[int] = set()
+_allocated_ports: set[int] = set()
 
 
 def free_port() -> int:
-    """Return a loopback port that is free, below those given to clients.
+    """Return a free loopback port below the ephemeral range.
 
-    A port from the ephemeral range could be taken by any outgoing connection
-    before its process starts.
+    An outgoing connection could take a port of the ephemeral range before the
+    process that is meant to listen on it starts.
     """
     while True:
-        port = random.randrange(*PORTS)
-        if port in _given:
+        port = random.randrange(*PORT_RANGE)
+        if port in _allocated_ports:
             continue
         with socket.socket() as probe:
             try:
                 probe.bind(("127.0.0.1", port))
             except OSError:
                 continue
-        _given.add(port)
+        _allocated_ports.add(port)
         return port
 
 
 def free_address() -> str:
-    """Return a loopback address that was free a moment ago."""
+    """Return a loopback address with a currently free port."""
     return f"127.0.0.1:{free_port()}"
 
 
 @dataclass(slots=True)
 class Process:
-    """Hold one process and where it listens."""
+    """Own one child process and its listening address."""
 
     name: str
     address: str
@@ -60,7 +63,7 @@
     popen: subprocess.Popen[bytes] | None = None
 
     def start(self) -> None:
-        """Start the process."""
+        """Start the process and append its output to the log file."""
         with self.log_file.open("ab") as log:
             self.popen = subprocess.Popen(
                 self.command, stdout=log, stderr=log, stdin=subprocess.DEVNULL
@@ -72,7 +75,7 @@
         return self.popen.pid
 
     def signal(self, number: int) -> None:
-        """Send a signal, if the process still runs."""
+        """Send a signal if the process is running."""
         if self.popen is not None and self.popen.poll() is None:
             self.popen.send_signal(number)
 
@@ -83,14 +86,14 @@
             self.popen.wait()
 
     def wait(self, timeout_s: float) -> int:
-        """Wait for the exit code."""
+        """Wait for the process to exit and return its exit code."""
         assert self.popen is not None
         return self.popen.wait(timeout_s)
 
 
 @dataclass(slots=True, kw_only=True)
 class Daemon:
-    """Hold one entry VM's process and addresses."""
+    """Own the process of one entry VM, and hold its addresses."""
 
     process: Process
     data_centre: str
@@ -106,7 +109,7 @@
 
 @dataclass(slots=True)
 class Cluster:
-    """Hold the processes of one deployment on loopback."""
+    """Own all processes of one deployment on loopback."""
 
     folder: Path
     deployment: str = "demo"
@@ -125,7 +128,7 @@
         return process
 
     def start_platform(self, **options: object) -> Process:
-        """Start the platform's stand-in."""
+        """Start a simulated platform."""
         address = free_address()
         self.platform = self._process(
             "platform", address, "platform", "--listen", address, *_flags(options)
@@ -133,7 +136,7 @@
         return self.platform
 
     def start_engine(self, name: str, **options: object) -> Process:
-        """Start a model engine's stand-in."""
+        """Start a simulated model engine."""
         address = free_address()
         self.engines[name] = self._process(
             name,
@@ -145,7 +148,7 @@
         return self.engines[name]
 
     def start_engines(self, count: int, **options: object) -> list[Process]:
-        """Start several engines' stand-ins in one process."""
+        """Start several simulated engines in one process."""
         first = len(self.engines)
         addresses = [free_address() for _ in range(count)]
         flags = ["--listen", *addresses]
@@ -158,7 +161,7 @@
         return list(self.engines.values())[first:]
 
     def start_service(self, name: str, **options: object) -> Process:
-        """Start a plain service's stand-in."""
+        """Start a simulated server of a plain service."""
         address = free_address()
         self.services[name] = self._process(
             name,
@@ -180,7 +183,7 @@
         seeds: Sequence[str] | None = None,
         settings: Mapping[str, Mapping[str, object]] | None = None,
     ) -> Daemon:
-        """Start a daemon with settings of its own."""
+        """Write a settings file and start a daemon with it."""
         assert self.platform is not None
         if seeds is None:
             seeds = [daemon.peers for daemon in self.daemons.values()][:3]
@@ -227,7 +230,10 @@
         return daemons + backends + ([self.platform] if self.platform else [])
 
     def stop(self) -> dict[str, int]:
-        """Stop daemons gracefully, then the rest; return daemons' exit codes."""
+        """Stop the daemons gracefully, then kill the other processes.
+
+        Return the exit codes of the daemons.
+        """
         for daemon in self.daemons.values():
             daemon.process.signal(signal.SIGCONT)
             daemon.process.signal(signal.SIGTERM)
@@ -243,7 +249,7 @@
         self.pool.close()
         return codes
 
-    # Calls
+    # HTTP calls and commands
 
     async def request(
         self,
@@ -255,7 +261,7 @@
         headers: Mapping[str, str] | None = None,
         timeout_s: float = 30.0,
     ) -> tuple[ResponseHead, bytes]:
-        """Run one HTTP request."""
+        """Send one HTTP request."""
         request = Request(
             address=address,
             method=method,
@@ -269,49 +275,49 @@
     async def json(
         self, address: str, path: str, *, method: str = "GET", body: object = None
     ) -> Any:
-        """Run one JSON call of a stand-in."""
+        """Send one JSON request to a simulated component."""
         data = b"" if body is None else json.dumps(body).encode()
-        _, answer = await self.request(address, method, path, body=data)
-        return json.loads(answer) if answer else None
+        _, response = await self.request(address, method, path, body=data)
+        return json.loads(response) if response else None
 
     async def fault(
         self, process: Process, name: str, *, count: int = 1, value: float = 0
     ) -> None:
-        """Arm a fault of a stand-in."""
+        """Arm a fault of a simulated component."""
         body = {"name": name, "count": count, "value": value}
         await self.json(process.address, "/admin/faults", method="POST", body=body)
 
     async def record(self, process: Process) -> Any:
-        """Read a stand-in's own record."""
+        """Read the record that a simulated component keeps of its requests."""
         return await self.json(process.address, "/admin/record")
 
     async def wait_listening(self) -> None:
-        """Wait until every stand-in answers."""
+        """Wait until every simulated component responds."""
         for process in [*self.engines.values(), *self.services.values()]:
-            await self._until_answers(process.address, "/report")
+            await self._wait_until_ok(process.address, "/report")
         if self.platform is not None:
-            await self._until_answers(self.platform.address, "/admin/calls")
+            await self._wait_until_ok(self.platform.address, "/admin/calls")
 
-    async def _until_answers(self, address: str, path: str) -> None:
-        await self.until(lambda: self._answers(address, path))
+    async def _wait_until_ok(self, address: str, path: str) -> None:
+        await self.until(lambda: self._returns_ok(address, path))
 
-    async def _answers(self, address: str, path: str) -> bool:
+    async def _returns_ok(self, address: str, path: str) -> bool:
         head, _ = await self.request(address, "GET", path, timeout_s=1.0)
         return head.status == 200
 
     async def until(
         self, condition: Callable[[], Any], *, timeout_s: float = START_TIMEOUT_S
     ) -> Any:
-        """Wait until a condition holds and return what it gave.
+        """Wait until a condition returns a true value, and return that value.
 
-        A condition that raises does not hold yet.
+        A condition that raises an exception is retried.
         """
         deadline_s = time.monotonic() + timeout_s
         failure: Exception | None = None
         while time.monotonic() < deadline_s:
             try:
-                # In a thread: a condition may run a command, and proxies
-                # may be running on this loop.
+                # Run in a thread: the condition may block on a command while
+                # fault proxies are served by this event loop.
                 value = await asyncio.to_thread(condition)
                 if asyncio.iscoroutine(value):
                     value = await value
@@ -323,17 +329,17 @@
         raise TimeoutError(f"condition does not hold; last failure: {failure!r}")
 
     async def wait_live(self) -> None:
-        """Wait until every daemon answers."""
+        """Wait until every daemon passes its liveness check."""
         for daemon in self.daemons.values():
-            await self._until_answers(daemon.callers, "/livez")
+            await self._wait_until_ok(daemon.callers, "/livez")
 
     async def wait_ready(self) -> None:
-        """Wait until every daemon wants callers."""
+        """Wait until every daemon passes its readiness check."""
         for daemon in self.daemons.values():
-            await self._until_answers(daemon.callers, "/readyz")
+            await self._wait_until_ok(daemon.callers, "/readyz")
 
     def cli(self, *arguments: str, daemon: str = "") -> subprocess.CompletedProcess:
-        """Run the operators' command line against one daemon."""
+        """Run the operator command line against one daemon."""
         chosen = daemon or next(iter(self.daemons))
         environment = {
             **os.environ,
@@ -349,7 +355,7 @@
         )
 
     def declare(self, declarations: str, *, name: str = "declarations") -> int:
-        """Apply declarations given as TOML; return the new version."""
+        """Apply TOML declarations and return the new configuration version."""
         file = self.folder / f"{name}.toml"
         file.write_text(declarations, encoding="utf-8")
         done = self.cli("apply", str(file), "--output", "json")
@@ -360,7 +366,7 @@
     def engine_declarations(
         self, data_centres: Mapping[str, str], memory_bytes: int, *, fences: bool = True
     ) -> str:
-        """Return the declarations of the engines that run here."""
+        """Return the declarations of the engines of this cluster."""
         return "".join(
             f'[backend_server.{name}]\ndata_centre = "{data_centres[name]}"\n'
             f'address = "{process.address}"\nmemory_bytes = {memory_bytes}\n'
@@ -371,7 +377,7 @@
     def service_declarations(
         self, service: str, data_centres: Mapping[str, str]
     ) -> str:
-        """Return the declarations of a service and its servers here."""
+        """Return the declarations of a service and its servers."""
         return f"[service.{service}]\n" + "".join(
             f'[backend_server.{name}]\ndata_centre = "{data_centres[name]}"\n'
             f'address = "{process.address}"\nservice = "{service}"\n'
@@ -380,7 +386,7 @@
 
 
 def caller_declaration(name: str, key: str, *, reach: str = "*") -> str:
-    """Return the declaration of a caller with a key."""
+    """Return the declaration of a caller with an API key."""
     hashed = hashlib.sha256(key.encode()).hexdigest()
     return f'[caller.{name}]\nkey_sha256 = "{hashed}"\nreach = ["{reach}"]\n'
 
--- a/src/rosepath_standins/demo.py
+++ b/src/rosepath_standins/demo.py
@@ -1,4 +1,4 @@
-"""The demo: stand-ins, two daemons, an operator and a caller, in one go."""
+"""End-to-end demo with simulated components, two daemons and a caller."""
 
 import asyncio
 import json
@@ -33,7 +33,7 @@
 
 
 def run_demo(*, keep: Path | None = None) -> int:
-    """Run the demo; return 0 only if every step did what it should."""
+    """Run the demo and return 0 if every step succeeded."""
     if keep is not None:
         keep.mkdir(parents=True, exist_ok=True)
         return asyncio.run(_demo(keep))
@@ -46,7 +46,7 @@
     codes: dict[str, int] = {}
     try:
         await _start(cluster)
-        await _operate(cluster)
+        await _apply_declarations(cluster)
         await _call(cluster)
         _show_trace(folder)
         print("\n$ rosepath status\n" + cluster.cli("status").stdout)
@@ -77,19 +77,19 @@
     await cluster.wait_live()
 
 
-async def _operate(cluster: Cluster) -> None:
-    homes = {"engine-1": "casa-a", "engine-2": "casa-b", "greffe-1": "casa-a"}
+async def _apply_declarations(cluster: Cluster) -> None:
+    data_centres = {"engine-1": "casa-a", "engine-2": "casa-b", "greffe-1": "casa-a"}
     declarations = (
         DECLARATIONS
         + caller_declaration("clerks", KEY)
-        + cluster.engine_declarations(homes, 100_000)
-        + cluster.service_declarations("greffe-api", homes)
+        + cluster.engine_declarations(data_centres, 100_000)
+        + cluster.service_declarations("greffe-api", data_centres)
     )
     version = cluster.declare(declarations)
     waited = cluster.cli("wait", str(version))
     print("$ rosepath wait", version, "\n" + waited.stdout + waited.stderr)
-    wanted = {"court-rules", "court-rules:casablanca", "claim-drafts"}
-    await cluster.until(lambda: wanted <= _resident(cluster))
+    expected = {"court-rules", "court-rules:casablanca", "claim-drafts"}
+    await cluster.until(lambda: expected <= _resident(cluster))
     await cluster.until(lambda: "claim-drafts@v2" in _resident(cluster))
 
 
@@ -118,12 +118,12 @@
         daemon = daemons[number % len(daemons)]
         prompt = f"draft {number}"
         body = {"model": "drafts", "prompt": prompt, "max_tokens": 4}
-        answer = await _post(cluster, daemon.callers, "/v1/completions", body)
-        text = answer["choices"][0]["text"]
+        response = await _post(cluster, daemon.callers, "/v1/completions", body)
+        text = response["choices"][0]["text"]
         for target in ("claim-drafts", "claim-drafts@v2"):
             counts[target] += text == answer_text(target, prompt, 4)
     if sum(counts.values()) != SPLIT_REQUESTS:
-        raise RuntimeError(f"some answers are not whole: {counts}")
+        raise RuntimeError(f"some responses are incomplete or wrong: {counts}")
     print(f"split over {SPLIT_REQUESTS} requests: {dict(counts)}")
     _, receipt = await cluster.request(
         daemons[1].callers,
@@ -138,12 +138,12 @@
 async def _post(
     cluster: Cluster, address: str, path: str, body: dict[str, Any]
 ) -> dict[str, Any]:
-    head, answer = await cluster.request(
+    head, response = await cluster.request(
         address, "POST", path, body=json.dumps(body).encode(), headers=_headers()
     )
     if head.status != 200:
-        raise RuntimeError(f"{head.status}: {answer.decode()}")
-    return dict(json.loads(answer))
+        raise RuntimeError(f"{head.status}: {response.decode()}")
+    return dict(json.loads(response))
 
 
 async def _stream_once(cluster: Cluster, address: str, model: str) -> None:
@@ -153,18 +153,18 @@
         "max_tokens": 8,
         "messages": [{"role": "user", "content": "Which form do I file?"}],
     }
-    head, answer = await cluster.request(
+    head, response = await cluster.request(
         address,
         "POST",
         "/v1/chat/completions",
         body=json.dumps(body).encode(),
         headers={**_headers(), "traceparent": f"00-{'a' * 32}-{'b' * 16}-01"},
     )
-    if head.status != 200 or not answer.endswith(b"data: [DONE]\n\n"):
-        raise RuntimeError(f"{head.status}: {answer.decode()}")
+    if head.status != 200 or not response.endswith(b"data: [DONE]\n\n"):
+        raise RuntimeError(f"{head.status}: {response.decode()}")
     words = [
         json.loads(line[6:])["choices"][0]["delta"].get("content", "")
-        for line in answer.split(b"\n")
+        for line in response.split(b"\n")
         if line.startswith(b"data: {")
     ]
     print(f"{model} streamed: {''.join(words)}")
@@ -179,6 +179,6 @@
     print("\nhops of the streamed request:")
     for span in spans:
         if span["trace_id"] == "a" * 32:
-            took_ms = (span["end_ns"] - span["start_ns"]) / 1e6
+            duration_ms = (span["end_ns"] - span["start_ns"]) / 1e6
             peer = span["attributes"].get("peer", "caller")
-            print(f"  {span['name']:<18} {peer:<10} {took_ms:6.1f} ms")
+            print(f"  {span['name']:<18} {peer:<10} {duration_ms:6.1f} ms")
--- a/src/rosepath_standins/fault_proxy.py
+++ b/src/rosepath_standins/fault_proxy.py
@@ -1,4 +1,4 @@
-"""A TCP proxy that delays, cuts, resets or swallows what passes through it."""
+"""TCP proxy that delays, truncates, resets or drops forwarded data."""
 
 import asyncio
 import random
@@ -7,13 +7,13 @@
 from dataclasses import dataclass, field
 
 READ_BYTES = 64 * 1024
-# A link of a low rate passes the bytes of so long at a time.
-PIECE_S = 0.05
+# Under a rate limit, data is forwarded in pieces of this transmission time.
+PIECE_DURATION_S = 0.05
 
 
 @dataclass(slots=True, kw_only=True)
 class LinkFaults:
-    """Set what happens to bytes; `up` is towards the target."""
+    """Configure the faults of a link; `up` is the direction to the target."""
 
     delay_s: float = 0.0
     blackhole_up: bool = False
@@ -22,33 +22,33 @@
     cut_down_after_bytes: int | None = None
     cut_up_after_bytes: int | None = None
     loss: float = 0.0
-    # Of all connections together, each way.
+    # Shared by all connections, separately for each direction.
     bytes_per_s: float | None = None
 
 
 @dataclass(slots=True)
 class FaultProxy:
-    """Pass connections on to one target, spoiled as its faults say."""
+    """Forward connections to one target with the configured faults."""
 
     target: str
     faults: LinkFaults = field(default_factory=LinkFaults)
     address: str = ""
     seed: int = 1
     accepted: int = 0
-    _taken_until_s: dict[bool, float] = field(default_factory=dict)
+    _busy_until_s: dict[bool, float] = field(default_factory=dict)
     _server: asyncio.Server | None = None
     _writers: set[asyncio.StreamWriter] = field(default_factory=set)
     _random: random.Random = field(default_factory=lambda: random.Random(1))
 
     async def start(self, *, port: int = 0) -> str:
-        """Listen on loopback; return the address."""
+        """Listen on loopback and return the address."""
         self._server = await asyncio.start_server(self._serve, "127.0.0.1", port)
         host, chosen = self._server.sockets[0].getsockname()[:2]
         self.address = f"{host}:{chosen}"
         return self.address
 
     def start_now(self) -> str:
-        """Reserve the address at once and serve as soon as the loop runs."""
+        """Bind to an address now and start to serve from a background task."""
         listener = socket.create_server(("127.0.0.1", 0))
         host, chosen = listener.getsockname()[:2]
         self.address = f"{host}:{chosen}"
@@ -103,7 +103,7 @@
                 if faults.delay_s:
                     await asyncio.sleep(faults.delay_s)
                 if faults.loss and self._random.random() < faults.loss:
-                    # A lost segment shows to TCP's users as a late one.
+                    # TCP retransmits a lost segment: it arrives late.
                     await asyncio.sleep(0.2)
                 if faults.blackhole_up if up else faults.blackhole_down:
                     continue
@@ -126,17 +126,17 @@
         loop = asyncio.get_running_loop()
         while data:
             rate = self.faults.bytes_per_s
-            size = max(1, int(rate * PIECE_S)) if rate else len(data)
+            size = max(1, int(rate * PIECE_DURATION_S)) if rate else len(data)
             piece, data = data[:size], data[size:]
             if rate:
-                begins_s = max(loop.time(), self._taken_until_s.get(up, 0.0))
-                self._taken_until_s[up] = begins_s + len(piece) / rate
-                await asyncio.sleep(self._taken_until_s[up] - loop.time())
+                start_s = max(loop.time(), self._busy_until_s.get(up, 0.0))
+                self._busy_until_s[up] = start_s + len(piece) / rate
+                await asyncio.sleep(self._busy_until_s[up] - loop.time())
             writer.write(piece)
             await writer.drain()
 
     def reset_pair(self, writer: asyncio.StreamWriter) -> None:
-        """Reset one connection."""
+        """Reset the connection of a writer."""
         _reset(writer)
 
 
--- a/src/rosepath_standins/faults.py
+++ b/src/rosepath_standins/faults.py
@@ -1,4 +1,4 @@
-"""Faults that a test asks a stand-in for by an admin call."""
+"""Faults of a simulated component, armed by tests with an admin request."""
 
 import json
 from typing import Any
@@ -7,20 +7,26 @@
 
 
 class Faults:
-    """Hold armed faults: a value, and how many times it still strikes."""
+    """Hold the armed faults, each with its value and remaining count."""
 
     def __init__(self) -> None:
         self._armed: dict[str, tuple[int, float]] = {}
 
     def arm(self, name: str, *, count: int, value: float) -> None:
-        """Arm a fault for `count` strikes; 0 disarms it, -1 lasts."""
+        """Arm a fault that triggers `count` times.
+
+        A count of 0 disarms it; with a count of -1 it stays armed.
+        """
         if count == 0:
             self._armed.pop(name, None)
         else:
             self._armed[name] = (count, value)
 
     def take(self, name: str) -> float | None:
-        """Strike if armed: use up one strike and return the value."""
+        """Trigger a fault: return its value and decrement its count.
+
+        Return None if it is not armed.
+        """
         if name not in self._armed:
             return None
         count, value = self._armed[name]
@@ -29,12 +35,12 @@
         return value
 
     def active(self, name: str) -> bool:
-        """Tell whether a fault is armed, without using it up."""
+        """Return whether a fault is armed, without triggering it."""
         return name in self._armed
 
 
 class FaultsHandler(RequestHandler):
-    """Arm faults: `{"name": ..., "count": 1, "value": 0}`."""
+    """Arm a fault given as `{"name": ..., "count": 1, "value": 0}`."""
 
     def initialize(self, faults: Faults) -> None:
         self.faults = faults
--- a/src/rosepath_standins/load.py
+++ b/src/rosepath_standins/load.py
@@ -1,4 +1,4 @@
-"""A load tool: callers that check every answer, closed or open loop."""
+"""Closed-loop and open-loop load generator that checks every response."""
 
 import asyncio
 import json
@@ -20,7 +20,11 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class LoadShape:
-    """Describe a load; `rate_per_s` of 0 means `streams` closed loops."""
+    """Describe a load.
+
+    A `rate_per_s` above 0 generates an open loop of requests at that rate; 0
+    generates `streams` closed loops.
+    """
 
     addresses: tuple[str, ...]
     key: str
@@ -41,7 +45,7 @@
 
 @dataclass(slots=True)
 class LoadResult:
-    """Hold what the callers saw."""
+    """Hold the results that the callers observed."""
 
     started: int = 0
     whole: int = 0
@@ -57,7 +61,7 @@
     messages: list[str] = field(default_factory=list)
 
     def merge(self, other: "LoadResult") -> None:
-        """Add another part of the same load."""
+        """Add the result of another part of the same load."""
         self.started += other.started
         self.whole += other.whole
         self.wrong += other.wrong
@@ -72,13 +76,13 @@
         self.messages += other.messages
 
     def within(self, first_token_s: float) -> float:
-        """Return the share of requests whose first token came in time."""
+        """Return the share of requests with a first token within a limit."""
         in_time = sum(value <= first_token_s for value in self.first_token_s)
         return in_time / max(1, self.started)
 
 
 def percentile(values: Sequence[float], share: float) -> float:
-    """Return the value that a share of the values does not exceed."""
+    """Return the percentile of the values for a share between 0 and 1."""
     if not values:
         return float("nan")
     ordered = sorted(values)
@@ -86,7 +90,7 @@
 
 
 class _Caller:
-    """Hold one caller's connections and send its requests."""
+    """Own the connection pool of one caller and send its requests."""
 
     def __init__(self, shape: LoadShape, result: LoadResult, seed: int) -> None:
         self._shape = shape
@@ -99,7 +103,7 @@
         self._pool.close()
 
     async def send(self) -> None:
-        """Send one streaming request and check its answer."""
+        """Send one streaming request and check its response."""
         shape = self._shape
         model = self._rng.choices(shape.models, self._weights)[0]
         prompt = self._prompt()
@@ -138,7 +142,7 @@
             self._result.broken += 1
             self._result.messages.append(str(error))
             return
-        self._note(head, b"".join(chunks), model, prompt)
+        self._count_response(head, b"".join(chunks), model, prompt)
         if head.status == 200 and times:
             self._result.first_token_s.append(times[0] - started_s)
             if shape.tokens > 1:
@@ -153,7 +157,9 @@
         prefix = f"{group:06d}" * (shape.prefix_chars // 6 + 1)
         return prefix[: shape.prefix_chars] + f"{self._rng.getrandbits(64):x}"
 
-    def _note(self, head: ResponseHead, body: bytes, model: str, prompt: str) -> None:
+    def _count_response(
+        self, head: ResponseHead, body: bytes, model: str, prompt: str
+    ) -> None:
         result = self._result
         result.statuses[str(head.status)] += 1
         if head.status != 200:
@@ -174,7 +180,7 @@
             result.whole += 1
         else:
             result.wrong += 1
-            result.messages.append(f"wrong answer to {prompt[:40]!r}")
+            result.messages.append(f"wrong response to {prompt[:40]!r}")
 
 
 def _text(body: bytes) -> str:
@@ -187,22 +193,25 @@
 
 
 async def run_load(shape: LoadShape) -> LoadResult:
-    """Run a load to its end, which is bounded in time and count."""
+    """Run a load until its duration or number of requests is reached.
+
+    The duration is capped at `MAX_DURATION_S`.
+    """
     result = LoadResult()
     started_s = time.perf_counter()
-    ends_s = started_s + min(shape.duration_s, MAX_DURATION_S)
+    end_s = started_s + min(shape.duration_s, MAX_DURATION_S)
     if shape.rate_per_s:
-        await _open_loop(shape, result, ends_s)
+        await _open_loop(shape, result, end_s)
     else:
-        await _closed_loops(shape, result, ends_s)
+        await _closed_loops(shape, result, end_s)
     result.elapsed_s = time.perf_counter() - started_s
     return result
 
 
-async def _closed_loops(shape: LoadShape, result: LoadResult, ends_s: float) -> None:
+async def _closed_loops(shape: LoadShape, result: LoadResult, end_s: float) -> None:
     async def loop(number: int) -> None:
         caller = _Caller(shape, result, shape.seed * 1000 + number)
-        while time.perf_counter() < ends_s and result.started < shape.requests:
+        while time.perf_counter() < end_s and result.started < shape.requests:
             before = result.whole
             await caller.send()
             if result.whole == before:
@@ -212,12 +221,12 @@
     await asyncio.gather(*(loop(number) for number in range(shape.streams)))
 
 
-async def _open_loop(shape: LoadShape, result: LoadResult, ends_s: float) -> None:
+async def _open_loop(shape: LoadShape, result: LoadResult, end_s: float) -> None:
     caller = _Caller(shape, result, shape.seed)
     rng = random.Random(shape.seed)
     sent: set[asyncio.Task[None]] = set()
     next_s = time.perf_counter()
-    while next_s < ends_s and result.started < shape.requests:
+    while next_s < end_s and result.started < shape.requests:
         await asyncio.sleep(max(0.0, next_s - time.perf_counter()))
         task = asyncio.ensure_future(caller.send())
         sent.add(task)
@@ -229,12 +238,12 @@
 
 
 def encode_result(result: LoadResult) -> str:
-    """Encode a result, so that another process can merge it."""
+    """Encode a result as JSON for the process that merges it."""
     return json.dumps({f.name: getattr(result, f.name) for f in fields(result)})
 
 
 def decode_result(text: str) -> LoadResult:
-    """Decode a result."""
+    """Decode a result from JSON."""
     raw: dict[str, Any] = json.loads(text)
     raw["refused"] = Counter(raw["refused"])
     raw["statuses"] = Counter(raw["statuses"])
@@ -242,12 +251,12 @@
 
 
 def encode_shape(shape: LoadShape) -> str:
-    """Encode a shape for a process that runs it."""
+    """Encode a load shape as JSON for the process that runs it."""
     return json.dumps(asdict(shape))
 
 
 def decode_shape(text: str) -> LoadShape:
-    """Decode a shape."""
+    """Decode a load shape from JSON."""
     raw: dict[str, Any] = json.loads(text)
     for name in ("addresses", "models", "weights"):
         raw[name] = tuple(raw[name])
@@ -255,7 +264,7 @@
 
 
 def summary(result: LoadResult) -> dict[str, Any]:
-    """Return the figures that a report shows."""
+    """Return the counts, rates and latency percentiles of a result."""
     return {
         "started": result.started,
         "whole": result.whole,
--- a/src/rosepath_standins/tokens.py
+++ b/src/rosepath_standins/tokens.py
@@ -1,4 +1,4 @@
-"""The text that a stand-in engine answers, computable by whoever checks it."""
+"""Deterministic text of a simulated engine, so that clients can check it."""
 
 import zlib
 
@@ -6,11 +6,11 @@
 
 
 def token_text(target: str, prompt: str, offset: int) -> str:
-    """Return the token at an offset of the answer to a prompt."""
+    """Return the token at an offset of the response to a prompt."""
     seed = zlib.crc32(f"{target}|{prompt}".encode())
     return f"w{(seed + offset * 7919) % TEXT_WORDS:04d} "
 
 
 def answer_text(target: str, prompt: str, tokens: int) -> str:
-    """Return the whole answer to a prompt."""
+    """Return the whole response to a prompt."""
     return "".join(token_text(target, prompt, offset) for offset in range(tokens))
--- a/tests/test_demo.py
+++ b/tests/test_demo.py
@@ -1,4 +1,4 @@
-"""The demo, and the command line's exit codes, over real processes."""
+"""Tests of the demo and of the command line's exit codes on real processes."""
 
 from pathlib import Path
 
@@ -8,13 +8,11 @@
 from rosepath_standins.demo import run_demo
 
 
-def test_the_demo_ends_well(tmp_path: Path) -> None:
+def test_demo_succeeds(tmp_path: Path) -> None:
     assert run_demo(keep=tmp_path) == 0
 
 
-def test_the_command_line_exits_with_stable_codes(
-    deployment: Deployment, tmp_path: Path
-) -> None:
+def test_command_line_exit_codes(deployment: Deployment, tmp_path: Path) -> None:
     def code(*words: str) -> int:
         return int(deployment.cli(*words).returncode)
 
@@ -29,7 +27,7 @@
     assert code("get", "model", "court-rules") == 0
 
 
-def test_a_dry_run_shows_moves_and_changes_nothing(deployment: Deployment) -> None:
+def test_dry_run_prints_moves_and_changes_nothing(deployment: Deployment) -> None:
     words = ("declare", "model", "extra", '{"memory_bytes": 1000}', "--dry-run")
     done = deployment.cli(*words)
     assert "+ model extra" in done.stdout
