--- a/src/rosepath_standins/__main__.py
+++ b/src/rosepath_standins/__main__.py
@@ -1,4 +1,4 @@
-"""Run one stand-in as a process, or the demo."""
+"""Run a simulated component as a process, send a load or run the demo."""
 
 import asyncio
 import json
@@ -10,8 +10,8 @@
 from tornado.web import Application
 
 from rosepath.settings import split_address
-from rosepath_standins.engine import keep_reporting, make_engine
-from rosepath_standins.engine_state import EngineShape
+from rosepath_standins.engine import make_engine, refresh_reports
+from rosepath_standins.engine_state import EngineOptions
 from rosepath_standins.load import (
     LoadShape,
     decode_shape,
@@ -19,21 +19,21 @@
     run_load,
     summary,
 )
-from rosepath_standins.platform import PlatformShape, make_platform
+from rosepath_standins.platform import PlatformOptions, make_platform
 from rosepath_standins.service import make_service
 
-BIG_BODY_BYTES = 1 << 30
+MAX_BODY_BYTES = 1 << 30
 
 
 def serve(app: Application, address: str) -> HTTPServer:
-    """Listen for an application on an address."""
-    server = HTTPServer(app, max_body_size=BIG_BODY_BYTES, idle_connection_timeout=600)
+    """Start an HTTP server for an application on an address."""
+    server = HTTPServer(app, max_body_size=MAX_BODY_BYTES, idle_connection_timeout=600)
     host, port = split_address(address)
     server.listen(port, address=host)
     return server
 
 
-async def _until_killed() -> None:
+async def _run_forever() -> None:
     await asyncio.Event().wait()
 
 
@@ -44,18 +44,18 @@
     weight_loads_per_s: float = 1.0,
     weight_parallel: int = 4,
 ) -> None:
-    """Run the platform's stand-in."""
+    """Run a simulated platform."""
 
     async def run() -> None:
         app, _ = make_platform(
-            PlatformShape(
+            PlatformOptions(
                 vm_list_lag_s=vm_list_lag_s,
                 weight_loads_per_s=weight_loads_per_s,
                 weight_parallel=weight_parallel,
             )
         )
         serve(app, listen)
-        await _until_killed()
+        await _run_forever()
 
     asyncio.run(run())
 
@@ -75,11 +75,11 @@
     weights: str = "",
     resident: str = "",
 ) -> None:
-    """Run a model engine's stand-in."""
+    """Run a simulated model engine."""
 
     async def run() -> None:
         app, state = make_engine(
-            EngineShape(
+            EngineOptions(
                 name=name,
                 memory_bytes=memory_bytes,
                 slots=slots,
@@ -95,7 +95,7 @@
         for target in filter(None, resident.split(",")):
             state.resident[target] = 1
         serve(app, listen)
-        await keep_reporting(state)
+        await refresh_reports(state)
 
     asyncio.run(run())
 
@@ -109,13 +109,13 @@
     prefill_s_per_block: float = 0.002,
     report_lag_s: float = 0.1,
 ) -> None:
-    """Run several model engines' stand-ins in one process."""
+    """Run several simulated model engines in one process."""
 
     async def run() -> None:
         reporting = []
         for address in listen:
             app, state = make_engine(
-                EngineShape(
+                EngineOptions(
                     name=address,
                     memory_bytes=memory_bytes,
                     slots=slots,
@@ -125,7 +125,7 @@
                 )
             )
             serve(app, address)
-            reporting.append(keep_reporting(state))
+            reporting.append(refresh_reports(state))
         await asyncio.gather(*reporting)
 
     asyncio.run(run())
@@ -134,12 +134,12 @@
 def service(
     *, listen: str = "127.0.0.1:8200", name: str = "service", delay_s: float = 0.0
 ) -> None:
-    """Run a plain service's stand-in."""
+    """Run a simulated server of a plain service."""
 
     async def run() -> None:
         app, _ = make_service(name, delay_s=delay_s)
         serve(app, listen)
-        await _until_killed()
+        await _run_forever()
 
     asyncio.run(run())
 
@@ -156,7 +156,7 @@
     raw: bool = False,
     shape: str = "",
 ) -> None:
-    """Send a bounded load to daemons and check every answer."""
+    """Send a bounded load to daemons and check every response."""
     chosen = (
         decode_shape(shape)
         if shape
@@ -175,14 +175,14 @@
 
 
 def demo(*, keep: Path | None = None, mode: Literal["quick"] = "quick") -> int:
-    """Show the whole path once, with real processes."""
+    """Run an end-to-end demo with real processes."""
     from rosepath_standins.demo import run_demo
 
     return run_demo(keep=keep)
 
 
 def main() -> None:
-    """Run what the command line asks for."""
+    """Run the subcommand given on the command line."""
     result = defopt.run([platform, engine, engines, service, load, demo])
     raise SystemExit(result or 0)
 
--- a/src/rosepath_standins/engine.py
+++ b/src/rosepath_standins/engine.py
@@ -1,4 +1,4 @@
-"""Stand-in for a model engine: generation, orders, reports, faults."""
+"""Simulated model engine: generation, orders, load reports and faults."""
 
 import asyncio
 import json
@@ -10,8 +10,8 @@
 
 from rosepath.http_client import HttpPool, Request
 from rosepath_standins.engine_state import (
-    ORDERS_KEPT,
-    EngineShape,
+    MAX_ORDERS,
+    EngineOptions,
     EngineState,
     Order,
 )
@@ -27,14 +27,17 @@
         if self.state.faults.active("silent"):
             await asyncio.Event().wait()
 
-    def not_run(self, status: int, code: str) -> None:
-        """Refuse, saying that nothing was run."""
+    def reject(self, status: int, code: str) -> None:
+        """Refuse a request and state that it was not executed."""
         self.set_status(status)
         self.finish({"ran": False, "code": code})
 
 
 class GenerateHandler(_EngineHandler):
-    """Stream an answer as server-sent events with ids `request/from-to`."""
+    """Stream the tokens of a response as server-sent events.
+
+    The id of an event is `request/from-to`, the range of its tokens.
+    """
 
     def on_connection_close(self) -> None:
         stop = getattr(self, "stopped", None)
@@ -44,14 +47,14 @@
     async def post(self) -> None:
         raw: dict[str, Any] = json.loads(self.request.body)
         state, target = self.state, raw["target"]
-        if state.leaving or state.faults.take("refuse") is not None:
-            return self.not_run(503, "leaving" if state.leaving else "refused")
+        if state.draining or state.faults.take("refuse") is not None:
+            return self.reject(503, "leaving" if state.draining else "refused")
         base = target.split(":", 1)[0]
-        ready = state.resident.keys() - state.closing
+        ready = state.resident.keys() - state.unloading
         if base not in ready or target not in ready:
-            return self.not_run(409, "not_loaded")
-        if len(state.waiting) >= state.shape.queue_limit:
-            return self.not_run(429, "overloaded")
+            return self.reject(409, "not_loaded")
+        if len(state.waiting) >= state.options.queue_limit:
+            return self.reject(429, "overloaded")
         request_id = raw["request_id"]
         self.stopped = state.streams.setdefault(request_id, asyncio.Event())
         await state.acquire_slot(int(raw.get("priority", 0)))
@@ -67,27 +70,27 @@
             state.streams.pop(request_id, None)
             if self.stopped.is_set():
                 state.cancelled[request_id] = time.time()
-            state.wake_next()
+            state.grant_next_slot()
 
     async def _generate(
         self, raw: dict[str, Any], request_id: str, target: str
     ) -> None:
-        state, shape, prompt = self.state, self.state.shape, raw["prompt"]
+        state, options, prompt = self.state, self.state.options, raw["prompt"]
         self.set_header("Content-Type", "text/event-stream")
         missing = state.look_up_prefix(target, prompt)
-        if missing and shape.prefill_s_per_block:
-            await asyncio.sleep(missing * shape.prefill_s_per_block)
+        if missing and options.prefill_s_per_block:
+            await asyncio.sleep(missing * options.prefill_s_per_block)
         end, offset = int(raw["max_tokens"]), int(raw.get("offset", 0))
         while offset < end and not self.stopped.is_set():
-            step = min(shape.tokens_per_event, end - offset)
+            step = min(options.tokens_per_event, end - offset)
             text = "".join(token_text(target, prompt, offset + n) for n in range(step))
             if not await self._send_tokens(raw, request_id, offset, step, text):
                 return
             offset += step
             state.tokens += step
-            if shape.token_interval_s:
-                crowd = 1 + shape.batch_slowdown * state.running_total
-                await asyncio.sleep(shape.token_interval_s * crowd * step)
+            if options.token_interval_s:
+                slowdown = 1 + options.batch_slowdown * state.running_total
+                await asyncio.sleep(options.token_interval_s * slowdown * step)
         if self.stopped.is_set():
             return
         state.finished[request_id] += 1
@@ -101,11 +104,11 @@
         self, raw: dict[str, Any], request_id: str, offset: int, step: int, text: str
     ) -> bool:
         faults = self.state.faults
-        if (at := faults.take("cut_stream")) is not None:
-            if offset >= at:
+        if (cut_offset := faults.take("cut_stream")) is not None:
+            if offset >= cut_offset:
                 self.request.connection.stream.close()  # type: ignore[union-attr]
                 return False
-            faults.arm("cut_stream", count=1, value=at)
+            faults.arm("cut_stream", count=1, value=cut_offset)
         if faults.active("silent_stream") and offset > 0:
             faults.take("silent_stream")
             await self.stopped.wait()
@@ -167,7 +170,7 @@
 
 
 class CancelHandler(_EngineHandler):
-    """Stop a stream that nobody waits for."""
+    """Stop a stream that is no longer needed."""
 
     def post(self) -> None:
         request_id = json.loads(self.request.body)["request_id"]
@@ -178,18 +181,18 @@
 
 
 class ReportHandler(_EngineHandler):
-    """Show the load as it was a while ago."""
+    """Return the last load report, which is `report_lag_s` old."""
 
     def get(self) -> None:
         self.finish(self.state.report or self.state.snapshot())
 
 
 class CacheEventsHandler(_EngineHandler):
-    """Show cache events, late and with gaps."""
+    """Return cache events, delayed by `event_lag_s` and with gaps."""
 
     def get(self) -> None:
         after = int(self.get_argument("after", "-1"))
-        ready_s = time.time() - self.state.shape.event_lag_s
+        ready_s = time.time() - self.state.options.event_lag_s
         events = [
             {"number": number, "block": block, "added": added}
             for at_s, number, block, added in self.state.cache_events
@@ -199,7 +202,10 @@
 
 
 class OrdersHandler(_EngineHandler):
-    """Take an order to load or unload; report how it went by its id."""
+    """Accept an order to load or unload a target.
+
+    The load report has the state of each order by its id.
+    """
 
     async def post(self) -> None:
         raw: dict[str, Any] = json.loads(self.request.body)
@@ -208,8 +214,8 @@
             return
         delay_s = self.state.faults.take("delay_order")
         if delay_s is not None:
-            # A middle hop holds the order back: the sender sees its
-            # connection die, and the order lands later all the same.
+            # Simulate an intermediary that delays the order: the sender's
+            # connection is closed, but the order still arrives later.
             asyncio.get_running_loop().call_later(delay_s, self._accept, raw)
             self.request.connection.stream.close()  # type: ignore[union-attr]
             return
@@ -228,7 +234,7 @@
         if raw["order_id"] in state.orders:
             return True
         fence = int(raw["fence"])
-        if state.shape.fences and fence < state.fence:
+        if state.options.fences and fence < state.fence:
             state.stale_orders += 1
             return False
         state.fence = max(state.fence, fence)
@@ -236,14 +242,14 @@
             raw["order_id"], raw["action"], raw["target"], int(raw["memory_bytes"])
         )
         state.orders[order.order_id] = order
-        while len(state.orders) > ORDERS_KEPT:
+        while len(state.orders) > MAX_ORDERS:
             state.orders.popitem(last=False)
-        asyncio.ensure_future(_carry_out(state, order))
+        asyncio.ensure_future(_execute(state, order))
         return True
 
 
-async def _carry_out(state: EngineState, order: Order) -> None:
-    """Load or unload, taking the time it takes."""
+async def _execute(state: EngineState, order: Order) -> None:
+    """Load or unload the target of an order, with the simulated duration."""
     if order.action == "claim":
         order.state = "done"
         return
@@ -254,7 +260,7 @@
         order.state = "done"
         return
     state.loading[order.target] = order.memory_bytes
-    state.note_memory()
+    state.record_memory_use()
     order.state = "loading"
     try:
         await _fetch_weights(state, order)
@@ -268,32 +274,35 @@
 
 
 async def _unload(state: EngineState, order: Order) -> None:
-    """Take no new work for a target, let its streams end, free its memory."""
-    parts = [t for t in state.resident if _is_part(t, order.target)]
-    state.closing.update(parts)
+    """Refuse new requests for a target, finish its streams, free its memory.
+
+    Unloading a model also unloads its adapters.
+    """
+    parts = [t for t in state.resident if _is_unloaded_with(t, order.target)]
+    state.unloading.update(parts)
     order.state = "unloading"
     while any(state.running[part] for part in parts):  # noqa: ASYNC110
         await asyncio.sleep(0.02)
     for part in parts:
         state.resident.pop(part, None)
-        state.closing.discard(part)
+        state.unloading.discard(part)
     order.state = "done"
 
 
-def _is_part(target: str, unloaded: str) -> bool:
+def _is_unloaded_with(target: str, unloaded: str) -> bool:
     return target == unloaded or target.startswith(unloaded + ":")
 
 
 async def _fetch_weights(state: EngineState, order: Order) -> None:
-    duration_s = order.memory_bytes * state.shape.load_s_per_byte
-    if not state.shape.weights_address:
+    duration_s = order.memory_bytes * state.options.load_s_per_byte
+    if not state.options.weights_address:
         await asyncio.sleep(duration_s)
         return
     pool = HttpPool()
     path = f"/weights/{order.target}?duration_s={duration_s}"
     await pool.fetch(
         Request(
-            address=state.shape.weights_address,
+            address=state.options.weights_address,
             method="GET",
             path=path,
             progress_timeout_s=600.0,
@@ -303,10 +312,10 @@
 
 
 class RecordHandler(_EngineHandler):
-    """Show the engine's own record, whatever faults are armed."""
+    """Return the record of what the engine executed."""
 
     async def prepare(self) -> None:
-        """Answer even while faults are armed."""
+        """Skip the armed faults so that the record can always be read."""
 
     def get(self) -> None:
         state = self.state
@@ -331,36 +340,36 @@
         )
 
 
-class LeaveHandler(_EngineHandler):
-    """Start leaving: refuse new work, finish what runs."""
+class DrainHandler(_EngineHandler):
+    """Start draining: refuse new requests and finish the running ones."""
 
     def post(self) -> None:
-        self.state.leaving = True
+        self.state.draining = True
         self.finish({"leaving": True})
 
 
-async def keep_reporting(state: EngineState) -> None:
-    """Renew the report that readers see, one lag behind."""
+async def refresh_reports(state: EngineState) -> None:
+    """Publish load reports, each `report_lag_s` after its snapshot."""
     while True:
         fresh = state.snapshot()
-        await asyncio.sleep(state.shape.report_lag_s)
+        await asyncio.sleep(state.options.report_lag_s)
         state.report = fresh
 
 
-def make_engine(shape: EngineShape) -> tuple[Application, EngineState]:
-    """Build the stand-in's application and the state behind it."""
-    state = EngineState(shape)
-    handled = {"state": state}
+def make_engine(options: EngineOptions) -> tuple[Application, EngineState]:
+    """Build the application and state of a simulated engine."""
+    state = EngineState(options)
+    handler_args = {"state": state}
     app = Application(
         [
-            (r"/v1/generate", GenerateHandler, handled),
-            (r"/v1/cancel", CancelHandler, handled),
-            (r"/report", ReportHandler, handled),
-            (r"/cache-events", CacheEventsHandler, handled),
-            (r"/orders", OrdersHandler, handled),
+            (r"/v1/generate", GenerateHandler, handler_args),
+            (r"/v1/cancel", CancelHandler, handler_args),
+            (r"/report", ReportHandler, handler_args),
+            (r"/cache-events", CacheEventsHandler, handler_args),
+            (r"/orders", OrdersHandler, handler_args),
             (r"/admin/faults", FaultsHandler, {"faults": state.faults}),
-            (r"/admin/record", RecordHandler, handled),
-            (r"/admin/leave", LeaveHandler, handled),
+            (r"/admin/record", RecordHandler, handler_args),
+            (r"/admin/leave", DrainHandler, handler_args),
         ],
         log_function=lambda _: None,
     )
--- a/src/rosepath_standins/engine_state.py
+++ b/src/rosepath_standins/engine_state.py
@@ -1,4 +1,4 @@
-"""What a stand-in engine holds: memory, orders, streams, cache, record."""
+"""State of a simulated engine: memory, orders, streams, cache and record."""
 
 import asyncio
 import heapq
@@ -11,13 +11,13 @@
 from rosepath_standins.faults import Faults
 
 PREFIX_BLOCK_CHARS = 64
-CACHE_EVENTS_KEPT = 1000
-ORDERS_KEPT = 500
+MAX_CACHE_EVENTS = 1000
+MAX_ORDERS = 500
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
-class EngineShape:
-    """Set the stand-in's size and speed."""
+class EngineOptions:
+    """Configure the capacity, speed and delays of a simulated engine."""
 
     name: str = "engine"
     memory_bytes: int = 80_000
@@ -38,7 +38,7 @@
 
 @dataclass(slots=True)
 class Order:
-    """Hold one order and how it went."""
+    """Hold one order and its progress."""
 
     order_id: str
     action: str
@@ -49,12 +49,15 @@
 
 @dataclass(slots=True)
 class EngineState:
-    """Hold what the engine really holds; its record is the tests' witness."""
+    """Own the actual state of a simulated engine.
 
-    shape: EngineShape
+    The tests check against its record of what was executed.
+    """
+
+    options: EngineOptions
     faults: Faults = field(default_factory=Faults)
     resident: dict[str, int] = field(default_factory=dict)
-    closing: set[str] = field(default_factory=set)
+    unloading: set[str] = field(default_factory=set)
     loading: dict[str, int] = field(default_factory=dict)
     orders: OrderedDict[str, Order] = field(default_factory=OrderedDict)
     fence: int = 0
@@ -67,7 +70,7 @@
     started_at: dict[str, float] = field(default_factory=dict)
     running: Counter[str] = field(default_factory=Counter)
     tokens: int = 0
-    leaving: bool = False
+    draining: bool = False
     report: dict[str, Any] = field(default_factory=dict)
     cache: OrderedDict[str, None] = field(default_factory=OrderedDict)
     cache_events: list[tuple[float, int, str, bool]] = field(default_factory=list)
@@ -75,7 +78,7 @@
     cache_lookups: int = 0
     event_numbers: itertools.count = field(default_factory=itertools.count)
     waiting: list[tuple[int, int, asyncio.Future[None]]] = field(default_factory=list)
-    arrivals: itertools.count = field(default_factory=itertools.count)
+    arrival_numbers: itertools.count = field(default_factory=itertools.count)
     streams: dict[str, asyncio.Event] = field(default_factory=dict)
 
     @property
@@ -86,49 +89,49 @@
     def running_total(self) -> int:
         return sum(self.running.values())
 
-    def note_memory(self) -> None:
-        """Record the highest use and whether it went past the size."""
+    def record_memory_use(self) -> None:
+        """Update the peak memory use and count memory overcommitments."""
         used = self.memory_used_bytes
         self.peak_memory_bytes = max(self.peak_memory_bytes, used)
-        if used > self.shape.memory_bytes:
+        if used > self.options.memory_bytes:
             self.overcommitted += 1
 
     def snapshot(self) -> dict[str, Any]:
-        """Return a load report as of now."""
+        """Return a load report of the current state."""
         return {
             "at_s": time.time(),
-            "memory_bytes": self.shape.memory_bytes,
+            "memory_bytes": self.options.memory_bytes,
             "resident": dict(self.resident),
-            "closing": sorted(self.closing),
+            "closing": sorted(self.unloading),
             "loading": dict(self.loading),
             "running": self.running_total,
             "queued": len(self.waiting),
             "running_by_target": {k: v for k, v in self.running.items() if v},
-            "slots": self.shape.slots,
+            "slots": self.options.slots,
             "tokens": self.tokens,
-            "leaving": self.leaving,
+            "leaving": self.draining,
             "fence": self.fence,
             "orders": {key: o.state for key, o in self.orders.items()},
         }
 
     async def acquire_slot(self, priority: int) -> None:
-        """Wait for a slot of the batch, higher priority first."""
-        if self.running_total < self.shape.slots and not self.waiting:
+        """Wait for a slot of the batch; higher priorities are served first."""
+        if self.running_total < self.options.slots and not self.waiting:
             return
         future: asyncio.Future[None] = asyncio.get_running_loop().create_future()
-        heapq.heappush(self.waiting, (-priority, next(self.arrivals), future))
+        heapq.heappush(self.waiting, (-priority, next(self.arrival_numbers), future))
         await future
 
-    def wake_next(self) -> None:
-        """Give a freed slot to whoever waits first."""
-        while self.waiting and self.running_total < self.shape.slots:
+    def grant_next_slot(self) -> None:
+        """Grant a freed slot to the first waiting request."""
+        while self.waiting and self.running_total < self.options.slots:
             _, _, future = heapq.heappop(self.waiting)
             if not future.done():
                 future.set_result(None)
                 return
 
     def look_up_prefix(self, target: str, prompt: str) -> int:
-        """Cache a prompt's blocks; return how many were not yet cached."""
+        """Cache a prompt's blocks and return the number of cache misses."""
         missing = 0
         for block in prefix_blocks(target, prompt):
             self.cache_lookups += 1
@@ -139,21 +142,21 @@
             missing += 1
             self.cache[block] = None
             self._cache_event(block, True)
-            if len(self.cache) > self.shape.cache_blocks:
+            if len(self.cache) > self.options.cache_blocks:
                 old, _ = self.cache.popitem(last=False)
                 self._cache_event(old, False)
         return missing
 
     def _cache_event(self, block: str, added: bool) -> None:
         number = next(self.event_numbers)
-        if number % self.shape.event_gap_every == self.shape.event_gap_every - 1:
+        if number % self.options.event_gap_every == self.options.event_gap_every - 1:
             return
         self.cache_events.append((time.time(), number, block, added))
-        del self.cache_events[:-CACHE_EVENTS_KEPT]
+        del self.cache_events[:-MAX_CACHE_EVENTS]
 
 
 def prefix_blocks(target: str, prompt: str) -> list[str]:
-    """Name the cacheable blocks of a prompt by all that precedes them."""
+    """Return a key per block, a hash of the prompt up to the block's end."""
     count = max(1, len(prompt) // PREFIX_BLOCK_CHARS)
     return [
         f"{target}#{hash(prompt[: (n + 1) * PREFIX_BLOCK_CHARS])}" for n in range(count)
--- a/src/rosepath_standins/entry_fleet.py
+++ b/src/rosepath_standins/entry_fleet.py
@@ -1,7 +1,8 @@
-"""Entry VMs as real processes, before a store and servers of this process.
+"""Entry VMs as real processes, with a store and servers in this process.
 
-The servers speak the users' platform's protocol and note what reaches them: they,
-and the callers, are the witnesses of a soak, never the entry VMs themselves.
+The servers implement the platform's request protocol and record the requests
+that they receive. A soak is checked against these records and the responses
+that callers received, not against data reported by the entry VMs.
 """
 
 import asyncio
@@ -20,25 +21,25 @@
 from tornado.httpserver import HTTPServer
 
 from rosepath_standins.fault_proxy import FaultProxy
-from rosepath_standins.platform import PlatformShape, PlatformState, make_platform
+from rosepath_standins.platform import PlatformOptions, PlatformState, make_platform
 
 HOST = "court.example"
 SERVICE = "desk"
 EVENTS = 10
-EVENT_EACH_S = 0.02
-RUN_S = 0.02
+EVENT_INTERVAL_S = 0.02
+RESPONSE_DELAY_S = 0.02
 CRASHING = "/look/crashing"
-CRASHES_AFTER_S = 0.03
+CRASH_DELAY_S = 0.03
 RETRY_AFTER_S = 3.0
 DRAIN_S = 2.0
 GRACE_S = 8.0
 APPLY_S = 2.0
 SETTLE_S = 3.0
-KEPT_ROUTES = 3
-# A document that a slow link takes seconds for.
-CROWD = 1400
-CROWD_SHARE = 0.3
-SHED = "Not-Executed: 1\r\nRetry-After: {:.2f}\r\n"
+MAX_ADDED_ROUTES = 3
+# A configuration with this many routes takes seconds over a slow link.
+LARGE_ROUTE_COUNT = 1400
+LARGE_CONFIGURATION_SHARE = 0.3
+SHED_HEADERS = "Not-Executed: 1\r\nRetry-After: {:.2f}\r\n"
 
 
 def caller_headers(request_id: str, *, wait_s: float) -> dict[str, str]:
@@ -50,21 +51,21 @@
 
 
 def free_port(kind: int = socket.SOCK_STREAM) -> int:
-    """Return a port of loopback on which nobody listens."""
+    """Return a free loopback port."""
     with socket.socket(socket.AF_INET, kind) as held:
         held.bind(("127.0.0.1", 0))
         return int(held.getsockname()[1])
 
 
 @dataclass(slots=True)
-class Witness:
-    """Hold what reached the servers."""
+class RequestLog:
+    """Record the requests that reached the servers, and the crashes."""
 
-    # Which VM each request was given to.
+    # The entry VM to which each request was sent, by request id.
     vm_of: dict[str, str] = field(default_factory=dict)
     arrivals: Counter[str] = field(default_factory=Counter)
     runs: Counter[str] = field(default_factory=Counter)
-    # Server, VM and time of each request that reached a server.
+    # Server, VM and time of each request that a server received.
     reached: list[tuple[str, str, float]] = field(default_factory=list)
     told_leaving_s: dict[tuple[str, str], float] = field(default_factory=dict)
     sheds: list[tuple[str, str, float]] = field(default_factory=list)
@@ -74,11 +75,14 @@
 
 @dataclass(slots=True)
 class Server:
-    """Serve plain requests and streams, and misbehave as told."""
+    """Serve plain requests and streams, and simulate faults.
+
+    It can drain, shed load and crash.
+    """
 
     name: str
-    witness: Witness
-    born_ms: int
+    witness: RequestLog
+    started_ms: int
     port: int = 0
     leaving: bool = False
     shedding: bool = False
@@ -92,7 +96,7 @@
         self.up = True
 
     def crash(self) -> None:
-        """Lose the listener and every connection at once."""
+        """Close the listener and abort every connection."""
         self.up = False
         if self._listener is not None:
             self._listener.close()
@@ -105,14 +109,14 @@
         self._writers.add(writer)
         try:
             while True:
-                await self._answer(reader, writer)
+                await self._respond(reader, writer)
         except (OSError, asyncio.IncompleteReadError):
             return
         finally:
             self._writers.discard(writer)
             writer.close()
 
-    async def _answer(
+    async def _respond(
         self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
     ) -> None:
         head = (await reader.readuntil(b"\r\n\r\n")).decode()
@@ -131,12 +135,14 @@
             self.witness.told_leaving_s.setdefault((self.name, vm), now_s)
         if self.shedding:
             self.witness.sheds.append((self.name, vm, now_s))
-            self._write(writer, 503, request_id, b"", SHED.format(RETRY_AFTER_S))
+            self._write(
+                writer, 503, request_id, b"", SHED_HEADERS.format(RETRY_AFTER_S)
+            )
             return
         self.witness.runs[request_id] += 1
         if path.startswith(CRASHING):
             self.witness.crashing.append((path, vm, now_s))
-            await asyncio.sleep(CRASHES_AFTER_S)
+            await asyncio.sleep(CRASH_DELAY_S)
             self.witness.crashes_s[path].append(time.monotonic())
             self.crash()
             raise ConnectionResetError
@@ -144,7 +150,7 @@
             first = int(headers.get("last-event-id", "0")) + 1
             await self._stream(writer, request_id, first)
             return
-        await asyncio.sleep(RUN_S)
+        await asyncio.sleep(RESPONSE_DELAY_S)
         self._write(writer, 200, request_id, f"{path} {request_id}".encode())
 
     async def _stream(
@@ -153,7 +159,7 @@
         head = self._head(200, request_id) + "Transfer-Encoding: chunked\r\n\r\n"
         writer.write(head.encode())
         for number in range(first, EVENTS + 1):
-            await asyncio.sleep(EVENT_EACH_S)
+            await asyncio.sleep(EVENT_INTERVAL_S)
             event = f"id: {number}\ndata: {request_id}\n\n".encode()
             writer.write(b"%x\r\n%b\r\n" % (len(event), event))
             await writer.drain()
@@ -178,7 +184,10 @@
 
 @dataclass(slots=True)
 class EntryVm:
-    """Hold one entry VM's process, its link to the store, and what was done to it."""
+    """Own an entry VM's process and its link to the store.
+
+    It records the faults that were injected into the VM.
+    """
 
     name: str
     directory: Path
@@ -187,10 +196,10 @@
     ready_port: int = 0
     peer_port: int = 0
     process: subprocess.Popen[bytes] | None = None
-    # When it was killed, started, paused or resumed, and when told to stop.
-    disturbed_s: list[float] = field(default_factory=list)
+    # When it was killed, started, paused or resumed, and when a stop was sent.
+    disturbances_s: list[float] = field(default_factory=list)
     stopped_s: list[float] = field(default_factory=list)
-    # From when until when it stopped, and its way to the store was cut or slow.
+    # Intervals of planned stops, and of a cut or slow link to the store.
     stops_s: list[tuple[float, float]] = field(default_factory=list)
     parted_s: list[tuple[float, float]] = field(default_factory=list)
 
@@ -199,7 +208,7 @@
         return f"127.0.0.1:{self.port}"
 
     def write_settings(self, *, slack: float = 50.0) -> Path:
-        """Write the settings file, as the platform would."""
+        """Write the settings file as the platform does."""
         self.port = self.port or free_port()
         self.ready_port = self.ready_port or free_port()
         self.peer_port = self.peer_port or free_port(socket.SOCK_DGRAM)
@@ -216,7 +225,7 @@
         return path
 
     def start(self) -> None:
-        """Start the process; its lines go to a file beside its settings."""
+        """Start the process, with its log beside its settings file."""
         path = self.write_settings()
         log = (self.directory / f"{self.name}.jsonl").open("ab")
         self.process = subprocess.Popen(
@@ -232,16 +241,23 @@
             os.kill(self.process.pid, number)
 
     def note_disturbed(self) -> None:
-        self.disturbed_s.append(time.monotonic())
+        self.disturbances_s.append(time.monotonic())
 
     def undisturbed(self, from_s: float, to_s: float) -> bool:
-        """Tell whether it was left alone all that time, but for planned stops."""
-        return not any(from_s < at_s < to_s for at_s in self.disturbed_s)
+        """Return whether no disturbance was recorded in an interval.
+
+        Planned stops and faults of the link to the store do not count.
+        """
+        return not any(from_s < at_s < to_s for at_s in self.disturbances_s)
 
 
 @dataclass(slots=True)
 class AddedRoute:
-    """Hold when an operator's writes about a route were sent and acknowledged."""
+    """Hold the times of the writes that added and dropped a route.
+
+    `added_s` and `dropped_s` are the times of the acknowledgements, the other
+    time is when the write that drops the route was sent.
+    """
 
     added_s: float = math.inf
     dropping_s: float = math.inf
@@ -250,22 +266,22 @@
 
 @dataclass(slots=True)
 class EntryFleet:
-    """Hold the store, the servers and the entry VMs."""
+    """Own the store, the servers and the entry VMs of a soak run."""
 
     directory: Path
-    witness: Witness = field(default_factory=Witness)
+    witness: RequestLog = field(default_factory=RequestLog)
     state: PlatformState | None = None
     servers: dict[str, Server] = field(default_factory=dict)
     vms: dict[str, EntryVm] = field(default_factory=dict)
-    lives: int = 0
-    # All routes that an operator added, and those of them that were not dropped.
+    instance_count: int = 0
+    # All routes that were added, and those of them that were not dropped.
     added: dict[str, AddedRoute] = field(default_factory=dict)
-    kept: list[str] = field(default_factory=list)
-    # From when until when the store stood still with this process.
+    active_routes: list[str] = field(default_factory=list)
+    # Intervals in which this process, and so the store, was stalled.
     stalls_s: list[tuple[float, float]] = field(default_factory=list)
 
     async def start(self, *, vms: int, servers: int) -> None:
-        app, self.state = make_platform(PlatformShape())
+        app, self.state = make_platform(PlatformOptions())
         store = HTTPServer(app, idle_connection_timeout=600)
         port = free_port()
         store.listen(port, address="127.0.0.1")
@@ -278,39 +294,48 @@
             vm = EntryVm(f"vm-{number}", self.directory, proxy)
             self.vms[vm.name] = vm
             vm.start()
-        await asyncio.gather(*(self.until_ready(vm) for vm in self.vms.values()))
+        await asyncio.gather(*(self.wait_until_ready(vm) for vm in self.vms.values()))
 
     async def write(self, name: str, value: object) -> None:
-        """Write an object of the store, or remove it, and wake its watches."""
+        """Write or remove an object of the store and notify the watches."""
         assert self.state is not None
         self.state.write(name, value)
         async with self.state.changed:
             self.state.changed.notify_all()
 
     async def change_routes(self, rng: random.Random) -> None:
-        """Write a configuration with one more route, and one less from some on."""
+        """Write a configuration with one more route.
+
+        Once `MAX_ADDED_ROUTES` are present, drop a random one of them.
+        """
         name, dropped = f"new-{len(self.added)}", AddedRoute()
-        if len(self.kept) >= KEPT_ROUTES:
-            dropped = self.added[self.kept.pop(rng.randrange(KEPT_ROUTES))]
+        if len(self.active_routes) >= MAX_ADDED_ROUTES:
+            dropped = self.added[
+                self.active_routes.pop(rng.randrange(MAX_ADDED_ROUTES))
+            ]
         dropped.dropping_s = time.monotonic()
         route = self.added[name] = AddedRoute()
-        self.kept.append(name)
-        crowd = CROWD if rng.random() < CROWD_SHARE else 0
-        names = self.kept + [f"crowd-{number}" for number in range(crowd)]
+        self.active_routes.append(name)
+        extra_routes = (
+            LARGE_ROUTE_COUNT if rng.random() < LARGE_CONFIGURATION_SHARE else 0
+        )
+        names = self.active_routes + [
+            f"crowd-{number}" for number in range(extra_routes)
+        ]
         await self.write("config/main", _configuration(1 + len(self.added), names))
         route.added_s = dropped.dropped_s = time.monotonic()
 
     async def add_server(self, *, port: int = 0) -> Server:
-        self.lives += 1
-        born_ms = int(time.time() * 1000)
-        server = Server(f"i-{self.lives}", self.witness, born_ms, port)
+        self.instance_count += 1
+        started_ms = int(time.time() * 1000)
+        server = Server(f"i-{self.instance_count}", self.witness, started_ms, port)
         await server.listen()
         self.servers[server.name] = server
-        await self.enter(server)
+        await self.write_entry(server)
         return server
 
-    async def enter(self, server: Server, *, state: str = "ready") -> None:
-        """Write a server's entry."""
+    async def write_entry(self, server: Server, *, state: str = "ready") -> None:
+        """Write the server's entry to the store."""
         entry = {
             "service": SERVICE,
             "address": f"127.0.0.1:{server.port}",
@@ -319,7 +344,7 @@
             "slots": 32,
             "state": state,
             "sequence": 0,
-            "born": server.born_ms,
+            "born": server.started_ms,
         }
         await self.write(f"servers/{server.name}", entry)
 
@@ -327,8 +352,8 @@
         self.servers.pop(server.name, None)
         await self.write(f"servers/{server.name}", None)
 
-    async def until_ready(self, vm: EntryVm, *, limit_s: float = 20.0) -> bool:
-        """Wait until a VM says that it is ready."""
+    async def wait_until_ready(self, vm: EntryVm, *, limit_s: float = 20.0) -> bool:
+        """Wait until a VM reports ready; return False at the time limit."""
         until_s = time.monotonic() + limit_s
         while time.monotonic() < until_s:
             if await _ready(vm.ready_port):
--- a/src/rosepath_standins/platform.py
+++ b/src/rosepath_standins/platform.py
@@ -1,7 +1,7 @@
-"""Stand-in for the platform: its object store, VM list and weight store.
+"""Simulated platform: object store, VM list and weight store.
 
-The store speaks the published calls: kinds of objects with revisions,
-conditional writes, lists in pages and watches that wait.
+The object store implements the platform's published API: kinds of objects
+with revisions, conditional writes, paginated lists and long-polling watches.
 """
 
 import asyncio
@@ -16,15 +16,15 @@
 from rosepath.token_bucket import TokenBucket
 from rosepath_standins.faults import Faults, FaultsHandler
 
-# A waiting watch looks this often whether a fault began meanwhile.
-FAULT_LOOK_S = 0.25
+# How often a waiting watch checks whether a fault has been armed meanwhile.
+FAULT_POLL_S = 0.25
 VM_KIND = "vms"
 MAX_VALUE_BYTES = 1 << 20
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
-class PlatformShape:
-    """Set the stand-in's limits."""
+class PlatformOptions:
+    """Configure the limits of a simulated platform."""
 
     vm_list_lag_s: float = 1.0
     weight_loads_per_s: float = 1.0
@@ -35,9 +35,9 @@
 
 @dataclass(slots=True)
 class PlatformState:
-    """Hold the objects, the VM list and the counts of calls."""
+    """Own the stored objects, the VM list and the call counters."""
 
-    shape: PlatformShape
+    options: PlatformOptions
     faults: Faults = field(default_factory=Faults)
     objects: dict[str, tuple[int, Any]] = field(default_factory=dict)
     snapshot: dict[str, tuple[int, Any]] = field(default_factory=dict)
@@ -51,13 +51,13 @@
     most_parallel_loads: int = 0
 
     def document(self, name: str, *, revision: int = 0) -> dict[str, Any]:
-        """Return an object as the store shows it."""
+        """Return an object in the format of the store's API."""
         known, spec = self.objects.get(name, (revision, None))
         own = name.partition("/")[2]
         return {"metadata": {"name": own, "revision": known}, "spec": spec}
 
     def write(self, name: str, value: Any) -> int:
-        """Store or (None) remove a value; return its version."""
+        """Store a value, or remove it if None, and return the new revision."""
         self.revision += 1
         if value is None:
             self.objects.pop(name, None)
@@ -68,7 +68,7 @@
 
 
 class _PlatformHandler(RequestHandler):
-    """Count a call and apply the faults that concern every call."""
+    """Count a call and apply the faults that affect every call."""
 
     def initialize(self, state: PlatformState) -> None:
         self.state = state
@@ -87,19 +87,22 @@
             self.finish()
 
     async def delay(self) -> None:
-        """Answer late if that is armed, for all or by the address that was called."""
+        """Delay the response if a `slow` fault is armed.
+
+        The fault applies to all addresses or to the one that was called.
+        """
         faults = ("slow", f"slow {self.request.host}")
         await asyncio.sleep(max(self.state.faults.take(one) or 0.0 for one in faults))
 
     def lose_reply(self) -> bool:
-        """Close the connection instead of answering, if the fault strikes."""
+        """Close the connection without a response if the fault is armed."""
         if self.state.faults.take("lose_reply") is None:
             return False
         self.request.connection.stream.close()  # type: ignore[union-attr]
         return True
 
     async def store(self, name: str, spec: Any) -> None:
-        """Write an object and answer with it, unless a fault strikes."""
+        """Write an object and respond with it, unless a fault is triggered."""
         if len(self.request.body) > MAX_VALUE_BYTES:
             self.set_status(413)
             return
@@ -117,7 +120,7 @@
 
 
 class KindHandler(_PlatformHandler):
-    """List a kind in pages, wait for its changes, or create an object of it."""
+    """List or watch the objects of a kind, or create one."""
 
     async def get(self, kind: str) -> None:
         if self.get_argument("watch", ""):
@@ -129,7 +132,7 @@
             for name in self.state.objects
             if name.startswith(f"{kind}/") and name > f"{kind}/{after}"
         )
-        page = names[: self.state.shape.page]
+        page = names[: self.state.options.page]
         self.finish(
             {
                 "items": [self.state.document(name) for name in page],
@@ -150,14 +153,14 @@
                 break
             if self.state.faults.active("silent"):
                 await asyncio.Event().wait()
-            await self._wait_for_change(min(left_s, FAULT_LOOK_S))
+            await self._wait_for_change(min(left_s, FAULT_POLL_S))
         if self.state.faults.active("down"):
             self.set_status(503)
             return
-        # A change that comes while the answer is held back is not in it.
-        answer = {"events": events, "atRevision": self.state.revision}
+        # A change made while the response is delayed is not included.
+        response = {"events": events, "atRevision": self.state.revision}
         await self.delay()
-        self.finish(answer)
+        self.finish(response)
 
     def _events(self, kind: str, after: int) -> list[dict[str, Any]]:
         changed = {
@@ -192,7 +195,7 @@
 
 
 class ObjectHandler(_PlatformHandler):
-    """Read, replace and delete one object, conditionally."""
+    """Read one object, or replace or delete it conditionally."""
 
     def get(self, kind: str, name: str) -> None:
         full = f"{kind}/{unquote(name)}"
@@ -232,12 +235,12 @@
 
 
 class VmsHandler(_PlatformHandler):
-    """Set the VM list, objects of a kind of their own that lag behind."""
+    """Update the objects of the VM list after `vm_list_lag_s`."""
 
     async def post(self) -> None:
         raw: dict[str, str] = json.loads(self.request.body)
         loop = asyncio.get_running_loop()
-        loop.call_later(self.state.shape.vm_list_lag_s, self._apply, raw)
+        loop.call_later(self.state.options.vm_list_lag_s, self._apply, raw)
         self.finish()
 
     def _apply(self, raw: dict[str, str]) -> None:
@@ -248,7 +251,7 @@
 
 
 class WeightsHandler(_PlatformHandler):
-    """Hand out a model's weights, bounded in rate and parallel loads."""
+    """Serve model weights at a limited rate; parallel loads slow down."""
 
     def initialize(  # type: ignore[override]
         self, state: PlatformState, rate: TokenBucket
@@ -257,7 +260,7 @@
         self.rate = rate
 
     async def get(self, name: str) -> None:
-        shape = self.state.shape
+        options = self.state.options
         loop = asyncio.get_running_loop()
         while (wait_s := self.rate.take(loop.time())) > 0:  # noqa: ASYNC110
             await asyncio.sleep(wait_s)
@@ -268,19 +271,19 @@
             self.state.most_parallel_loads, self.state.loading
         )
         try:
-            # Past the parallel limit every load slows down.
-            crowd = max(1.0, self.state.loading / shape.weight_parallel)
-            await asyncio.sleep(duration_s * crowd)
+            # Above the limit of parallel loads, every load slows down.
+            slowdown = max(1.0, self.state.loading / options.weight_parallel)
+            await asyncio.sleep(duration_s * slowdown)
         finally:
             self.state.loading -= 1
         self.finish()
 
 
 class CallsHandler(_PlatformHandler):
-    """Show how often each call was made."""
+    """Return the number of calls by kind."""
 
     async def prepare(self) -> None:
-        """Answer even while faults are armed."""
+        """Skip call counting and armed faults."""
 
     def get(self) -> None:
         self.finish(
@@ -293,10 +296,10 @@
 
 
 class SnapshotHandler(_PlatformHandler):
-    """Keep a snapshot (POST), or bring the store back to it (PUT)."""
+    """Take a snapshot of the store (POST) or restore it (PUT)."""
 
     async def prepare(self) -> None:
-        """Answer even while faults are armed."""
+        """Skip call counting and armed faults."""
 
     def post(self) -> None:
         self.state.snapshot = dict(self.state.objects)
@@ -308,20 +311,20 @@
         await self.announce()
 
 
-def make_platform(shape: PlatformShape) -> tuple[Application, PlatformState]:
-    """Build the stand-in's application and the state behind it."""
-    state = PlatformState(shape)
-    rate = TokenBucket(rate_per_s=shape.weight_loads_per_s, burst=1)
-    handled = {"state": state}
+def make_platform(options: PlatformOptions) -> tuple[Application, PlatformState]:
+    """Build the application and state of a simulated platform."""
+    state = PlatformState(options)
+    rate = TokenBucket(rate_per_s=options.weight_loads_per_s, burst=1)
+    handler_args = {"state": state}
     app = Application(
         [
-            (r"/v1/objects/([^/]+)", KindHandler, handled),
-            (r"/v1/objects/([^/]+)/(.+)", ObjectHandler, handled),
-            (r"/admin/vms", VmsHandler, handled),
+            (r"/v1/objects/([^/]+)", KindHandler, handler_args),
+            (r"/v1/objects/([^/]+)/(.+)", ObjectHandler, handler_args),
+            (r"/admin/vms", VmsHandler, handler_args),
             (r"/weights/(.+)", WeightsHandler, {"state": state, "rate": rate}),
             (r"/admin/faults", FaultsHandler, {"faults": state.faults}),
-            (r"/admin/calls", CallsHandler, handled),
-            (r"/admin/snapshot", SnapshotHandler, handled),
+            (r"/admin/calls", CallsHandler, handler_args),
+            (r"/admin/snapshot", SnapshotHandler, handler_args),
         ],
         log_function=lambda _: None,
     )
--- a/src/rosepath_standins/service.py
+++ b/src/rosepath_standins/service.py
@@ -1,4 +1,4 @@
-"""Stand-in for one server of a plain service; it echoes and keeps a record."""
+"""Simulated server of a plain service that echoes and records requests."""
 
 import asyncio
 import hashlib
@@ -14,7 +14,7 @@
 
 @dataclass(slots=True)
 class ServiceState:
-    """Hold the record of what was run."""
+    """Own the record of the requests that were executed."""
 
     name: str
     delay_s: float = 0.0
@@ -22,18 +22,18 @@
     runs: Counter[str] = field(default_factory=Counter)
     run_at: dict[str, float] = field(default_factory=dict)
     running: int = 0
-    leaving: bool = False
+    draining: bool = False
 
 
 @stream_request_body
 class EchoHandler(RequestHandler):
-    """Answer any method with a digest of what came, or with the body itself."""
+    """Respond to any method with a digest of the request, or with its body."""
 
     def initialize(self, state: ServiceState) -> None:
         self.state = state
         self.hash = hashlib.sha256()
         self.length = 0
-        self.kept: list[bytes] = []
+        self.body_chunks: list[bytes] = []
 
     async def prepare(self) -> None:
         if self.state.faults.active("silent"):
@@ -43,11 +43,11 @@
         self.hash.update(chunk)
         self.length += len(chunk)
         if self.request.path.startswith("/echo"):
-            self.kept.append(chunk)
+            self.body_chunks.append(chunk)
 
-    async def _answer(self, *_: Any) -> None:
+    async def _respond(self, *_: Any) -> None:
         state = self.state
-        if state.leaving or state.faults.take("refuse") is not None:
+        if state.draining or state.faults.take("refuse") is not None:
             self.set_status(503)
             self.set_header("Rosepath-Run", "no")
             self.finish()
@@ -58,11 +58,11 @@
         state.running += 1
         try:
             await asyncio.sleep(float(self.get_query_argument("s", str(state.delay_s))))
-            await self._reply(run_key)
+            await self._send_response(run_key)
         finally:
             state.running -= 1
 
-    async def _reply(self, run_key: str) -> None:
+    async def _send_response(self, run_key: str) -> None:
         faults = self.state.faults
         if faults.take("lose_reply") is not None:
             self.request.connection.stream.close()  # type: ignore[union-attr]
@@ -70,8 +70,8 @@
         if (size := self.get_query_argument("size", "")) != "":
             await self._stream(int(size))
             return
-        if self.kept:
-            self.finish(b"".join(self.kept))
+        if self.body_chunks:
+            self.finish(b"".join(self.body_chunks))
             return
         self.finish(
             {
@@ -99,11 +99,11 @@
                 return
         await self.finish()
 
-    get = post = put = delete = patch = head = options = _answer
+    get = post = put = delete = patch = head = options = _respond
 
 
 class ServiceReportHandler(RequestHandler):
-    """Report the service's own load."""
+    """Return the load report of the server."""
 
     def initialize(self, state: ServiceState) -> None:
         self.state = state
@@ -119,7 +119,7 @@
                 "queued": 0,
                 "running_by_target": {},
                 "slots": 64,
-                "leaving": self.state.leaving,
+                "leaving": self.state.draining,
                 "fence": 0,
                 "orders": {},
             }
@@ -127,7 +127,7 @@
 
 
 class ServiceRecordHandler(RequestHandler):
-    """Show the service's own record."""
+    """Return the record of executed requests."""
 
     def initialize(self, state: ServiceState) -> None:
         self.state = state
@@ -136,28 +136,28 @@
         self.finish({"runs": dict(self.state.runs), "run_at": self.state.run_at})
 
 
-class ServiceLeaveHandler(RequestHandler):
-    """Start leaving: refuse new work, finish what runs."""
+class ServiceDrainHandler(RequestHandler):
+    """Start draining: refuse new requests and finish the running ones."""
 
     def initialize(self, state: ServiceState) -> None:
         self.state = state
 
     def post(self) -> None:
-        self.state.leaving = True
+        self.state.draining = True
         self.finish({"leaving": True})
 
 
 def make_service(name: str, *, delay_s: float = 0.0) -> tuple[Application, Any]:
-    """Build the stand-in's application and the state behind it."""
+    """Build the application and state of a simulated server."""
     state = ServiceState(name, delay_s)
-    handled = {"state": state}
+    handler_args = {"state": state}
     app = Application(
         [
-            (r"/report", ServiceReportHandler, handled),
-            (r"/admin/record", ServiceRecordHandler, handled),
-            (r"/admin/leave", ServiceLeaveHandler, handled),
+            (r"/report", ServiceReportHandler, handler_args),
+            (r"/admin/record", ServiceRecordHandler, handler_args),
+            (r"/admin/leave", ServiceDrainHandler, handler_args),
             (r"/admin/faults", FaultsHandler, {"faults": state.faults}),
-            (r"/.*", EchoHandler, handled),
+            (r"/.*", EchoHandler, handler_args),
         ],
         log_function=lambda _: None,
     )
--- a/src/rosepath_standins/standalone.py
+++ b/src/rosepath_standins/standalone.py
@@ -1,4 +1,4 @@
-"""`rosepathd --standalone`: one process with small stand-ins inside it."""
+"""`rosepathd --standalone`: entry VM and simulated components combined."""
 
 import asyncio
 import hashlib
@@ -12,9 +12,9 @@
 from rosepath.node import Node
 from rosepath.settings import Settings
 from rosepath_standins.__main__ import serve
-from rosepath_standins.engine import keep_reporting, make_engine
-from rosepath_standins.engine_state import EngineShape
-from rosepath_standins.platform import PlatformShape, make_platform
+from rosepath_standins.engine import make_engine, refresh_reports
+from rosepath_standins.engine_state import EngineOptions
+from rosepath_standins.platform import PlatformOptions, make_platform
 from rosepath_standins.service import make_service
 
 PLATFORM = "127.0.0.1:8090"
@@ -25,21 +25,21 @@
 
 
 def run_standalone() -> int:
-    """Serve until interrupted."""
+    """Serve until SIGTERM or SIGINT and return the exit code."""
     return asyncio.run(_run())
 
 
 async def _run() -> int:
     configure_logs(level="info", entry_vm="entry-1", data_centre="local")
-    platform, _ = make_platform(PlatformShape(weight_loads_per_s=20.0))
-    engine, engine_state = make_engine(EngineShape(memory_bytes=100_000))
+    platform, _ = make_platform(PlatformOptions(weight_loads_per_s=20.0))
+    engine, engine_state = make_engine(EngineOptions(memory_bytes=100_000))
     service, _ = make_service("echo-1")
     servers = [
         serve(platform, PLATFORM),
         serve(engine, ENGINE),
         serve(service, SERVICE),
     ]
-    reporting = asyncio.ensure_future(keep_reporting(engine_state))
+    reporting = asyncio.ensure_future(refresh_reports(engine_state))
     settings = Settings(deployment="local", entry_vm="entry-1", data_centre="local")
     node = Node(settings)
     await node.start()
