--- a/benchmarks/entry_checks.py
+++ b/benchmarks/entry_checks.py
@@ -5,9 +5,9 @@
 
 from rosepath_standins.entry_fleet import (
     APPLY_S,
-    CRASHING,
+    CRASHING_PATH,
     DRAIN_S,
-    EVENTS,
+    EVENTS_PER_STREAM,
     RETRY_AFTER_S,
     SETTLE_S,
     AddedRoute,
@@ -78,7 +78,7 @@
         ]
 
     def _run_twice(self) -> list[str]:
-        runs = self.fleet.witness.runs
+        runs = self.fleet.request_log.runs
         return [
             response.request_id
             for response in self.responses
@@ -86,7 +86,7 @@
         ]
 
     def _refused_and_run(self) -> list[str]:
-        runs = self.fleet.witness.runs
+        runs = self.fleet.request_log.runs
         return [
             f"{response.request_id} {response.path} {response.status}"
             for response in self.responses
@@ -94,21 +94,21 @@
         ]
 
     def _sent_to_draining(self) -> list[str]:
-        announced_s = self.fleet.witness.told_leaving_s
+        announced_s = self.fleet.request_log.departure_signalled_s
         return [
             f"{server} from {vm} {at_s - announced_s[server, vm]:.2f} s after"
-            for server, vm, at_s in self.fleet.witness.reached
+            for server, vm, at_s in self.fleet.request_log.received_requests
             if at_s - announced_s.get((server, vm), at_s) > DRAIN_S
             and self.fleet.vms[vm].undisturbed(announced_s[server, vm], at_s)
         ]
 
     def _sent_in_backoff(self) -> list[str]:
         found = []
-        for server, vm, shed_s in self.fleet.witness.sheds:
+        for server, vm, shed_s in self.fleet.request_log.shed_requests:
             until_s = shed_s + RETRY_AFTER_S
             sent = [
                 at_s
-                for name, by, at_s in self.fleet.witness.reached
+                for name, by, at_s in self.fleet.request_log.received_requests
                 if (name, by) == (server, vm)
                 and shed_s + BACKOFF_APPLIED_AFTER_S < at_s < until_s
             ]
@@ -119,20 +119,20 @@
 
     def _sent_after_third_crash(self) -> list[str]:
         found = []
-        for path, crashes_s in self.fleet.witness.crashes_s.items():
-            if len(crashes_s) < 3:
+        for path, crash_times_s in self.fleet.request_log.crash_times_s.items():
+            if len(crash_times_s) < 3:
                 continue
-            cutoff_s = crashes_s[2] + RECOVERY_S
+            cutoff_s = crash_times_s[2] + RECOVERY_S
             sent = sum(
                 at_s > cutoff_s
                 and self.fleet.vms[vm].undisturbed(at_s - RECOVERY_S, at_s)
-                for sent_path, vm, at_s in self.fleet.witness.crashing
+                for sent_path, vm, at_s in self.fleet.request_log.crashing_requests
                 if sent_path == path
             )
             if sent > SENDS_AFTER_THIRD:
                 found.append(
                     f"{path}: sent {sent} times after the third"
-                    f" of {len(crashes_s)} crashes"
+                    f" of {len(crash_times_s)} crashes"
                 )
         return found
 
@@ -141,7 +141,7 @@
             f"{response.request_id} {response.path}"
             for response in self.responses
             if b"crashes_servers" in response.body
-            and not response.path.startswith(CRASHING)
+            and not response.path.startswith(CRASHING_PATH)
         ]
 
     def _late(self) -> list[str]:
@@ -159,7 +159,8 @@
         return [
             f"{response.request_id} {response.path} {response.status} by {response.vm}"
             for response in self.responses
-            if (route := self.fleet.added.get(response.path.split("/")[1])) is not None
+            if (route := self.fleet.added_routes.get(response.path.split("/")[1]))
+            is not None
             and self._used_older_configuration(response, route)
             and self._could_have_applied(response)
         ]
@@ -169,10 +170,12 @@
     ) -> bool:
         cutoff_s = response.sent_s - APPLY_S
         if route.dropped_s < cutoff_s:
-            return self.fleet.witness.runs[response.request_id] > 0
+            return self.fleet.request_log.runs[response.request_id] > 0
         unknown = response.status == 404 or b"configuration_outdated" in response.body
         return (
-            unknown and route.added_s < cutoff_s and response.ended_s < route.dropping_s
+            unknown
+            and route.added_s < cutoff_s
+            and response.ended_s < route.drop_sent_s
         )
 
     def _could_have_applied(self, response: CallerResponse) -> bool:
@@ -191,19 +194,23 @@
         running_vms = [
             vm
             for vm in self.fleet.vms.values()
-            if vm.undisturbed(from_s, response.ended_s) and not any_of(vm.stops_s)
+            if vm.undisturbed(from_s, response.ended_s)
+            and not any_of(vm.stop_intervals_s)
         ]
-        stalls_s = self.fleet.stalls_s
-        store_reachable = any(not any_of(vm.parted_s + stalls_s) for vm in running_vms)
+        stall_intervals_s = self.fleet.stall_intervals_s
+        store_reachable = any(
+            not any_of(vm.store_fault_intervals_s + stall_intervals_s)
+            for vm in running_vms
+        )
         return store_reachable and self.fleet.vms[response.vm] in running_vms
 
     def _cut_by_stop(self) -> list[str]:
-        arrivals = self.fleet.witness.arrivals
+        arrivals = self.fleet.request_log.arrivals
         found = []
         for response in self.responses:
             vm = self.fleet.vms[response.vm]
             stopping = any(
-                response.sent_s < at_s < response.ended_s for at_s in vm.stopped_s
+                response.sent_s < at_s < response.ended_s for at_s in vm.stop_sent_s
             )
             no_faults = vm.undisturbed(
                 response.sent_s - RECOVERY_S, response.ended_s + 0.1
@@ -218,7 +225,7 @@
 
 def _expected_body(response: CallerResponse) -> bytes:
     if response.path.startswith("/draft/"):
-        events = range(1, EVENTS + 1)
+        events = range(1, EVENTS_PER_STREAM + 1)
         return b"".join(
             f"id: {number}\ndata: {response.request_id}\n\n".encode()
             for number in events
--- a/benchmarks/entry_soak.py
+++ b/benchmarks/entry_soak.py
@@ -23,7 +23,7 @@
 from rosepath.errors import ExchangeError
 from rosepath.http_client import HttpPool, Request
 from rosepath_standins.entry_fleet import (
-    CRASHING,
+    CRASHING_PATH,
     DRAIN_S,
     GRACE_S,
     HOST,
@@ -79,7 +79,7 @@
             from_s = time.monotonic()
             await asyncio.sleep(0.1)
             if time.monotonic() - from_s > STALL_S:
-                self.fleet.stalls_s.append((from_s, time.monotonic()))
+                self.fleet.stall_intervals_s.append((from_s, time.monotonic()))
 
     async def _inject_faults(self, rng: random.Random, choices: list[Fault]) -> None:
         running: list[asyncio.Task[None]] = []
@@ -124,7 +124,7 @@
         pool = HttpPool()
         while time.monotonic() < self.ends_s:
             name = self.call_rng.choice(
-                list(self.fleet.added)[-PROBED_ROUTES:] or REQUEST_KINDS
+                list(self.fleet.added_routes)[-PROBED_ROUTES:] or REQUEST_KINDS
             )
             await self._send_request(pool, vm, f"/{name}/{self.request_count}")
             await asyncio.sleep(PROBE_INTERVAL_S)
@@ -133,7 +133,7 @@
     async def _send_request(self, pool: HttpPool, vm: EntryVm, path: str) -> None:
         self.request_count += 1
         request_id = f"q{self.request_count}"
-        self.fleet.witness.vm_of[request_id] = vm.name
+        self.fleet.request_log.vm_by_request[request_id] = vm.name
         request = Request(
             address=vm.address,
             host=HOST,
@@ -164,19 +164,19 @@
 
     async def kill_vm(self) -> None:
         vm = self._random_vm()
-        vm.note_disturbed()
+        vm.note_disturbance()
         vm.send(signal.SIGKILL)
         await self._restart_when_exited(vm)
 
     async def stop_vm(self) -> None:
         vm = self._random_vm()
         now_s = time.monotonic()
-        if vm.stopped_s and now_s - vm.stopped_s[-1] < GRACE_S + 1.0:
+        if vm.stop_sent_s and now_s - vm.stop_sent_s[-1] < GRACE_S + 1.0:
             return
-        vm.stopped_s.append(now_s)
+        vm.stop_sent_s.append(now_s)
         vm.send(signal.SIGTERM)
         await self._restart_when_exited(vm)
-        vm.stops_s.append((now_s, time.monotonic()))
+        vm.stop_intervals_s.append((now_s, time.monotonic()))
 
     async def _restart_when_exited(self, vm: EntryVm) -> None:
         process = vm.process
@@ -191,11 +191,11 @@
 
     async def pause_vm(self) -> None:
         vm = self._random_vm()
-        vm.note_disturbed()
+        vm.note_disturbance()
         vm.send(signal.SIGSTOP)
         await asyncio.sleep(self.rng.uniform(0.5, 3.0))
         vm.send(signal.SIGCONT)
-        vm.note_disturbed()
+        vm.note_disturbance()
 
     async def reload_vm(self) -> None:
         vm = self._random_vm()
@@ -208,7 +208,7 @@
         vm.store.reset_all()
         await asyncio.sleep(self.rng.uniform(0.5, 5.0))
         vm.store.faults.refuse = False
-        vm.parted_s.append((from_s, time.monotonic()))
+        vm.store_fault_intervals_s.append((from_s, time.monotonic()))
 
     async def reset_store(self) -> None:
         for vm in self.fleet.vms.values():
@@ -232,11 +232,11 @@
         vm.store.faults.bytes_per_s = self.store_rng.uniform(*LOW_RATE_BYTES_PER_S)
         await asyncio.sleep(self.store_rng.uniform(1.0, 5.0))
         vm.store.faults.bytes_per_s = None
-        vm.parted_s.append((from_s, time.monotonic()))
+        vm.store_fault_intervals_s.append((from_s, time.monotonic()))
 
     async def crash_server(self) -> None:
         server = self.rng.choice(list(self.fleet.servers.values()))
-        if server.up:
+        if server.listening:
             server.crash()
 
     async def leave_by_answers(self) -> None:
@@ -252,12 +252,12 @@
         is removed; otherwise only the removed entry shows it.
         """
         remaining = [
-            server for server in self.fleet.servers.values() if not server.leaving
+            server for server in self.fleet.servers.values() if not server.draining
         ]
         if len(remaining) <= 2:
             return
         server = self.rng.choice(remaining)
-        server.leaving = announced
+        server.draining = announced
         if announced:
             await asyncio.sleep(self.rng.uniform(1.0, 5.0))
         await self.fleet.remove(server)
@@ -272,7 +272,7 @@
         server.shedding = False
 
     async def send_crashing(self) -> None:
-        path = f"{CRASHING}/{self.rng.randrange(2)}"
+        path = f"{CRASHING_PATH}/{self.rng.randrange(2)}"
         pool = HttpPool()
         for vm in self.rng.sample(list(self.fleet.vms.values()), 2):
             await self._send_request(pool, vm, path)
@@ -282,7 +282,7 @@
         """Replace each crashed server by a new instance."""
         while True:
             for server in list(self.fleet.servers.values()):
-                if not server.up:
+                if not server.listening:
                     await asyncio.sleep(1.0)
                     await self.fleet.remove(server)
                     await self.fleet.add_server()
@@ -331,7 +331,7 @@
         print(
             f"seed {seed}: {len(run.responses)} requests {dict(statuses)}, faults"
             f" {dict(run.faults)}, broken {sum(map(len, failures.values()))},"
-            f" stood still {len(run.fleet.stalls_s)} times"
+            f" stood still {len(run.fleet.stall_intervals_s)} times"
         )
         for rule, found in failures.items():
             print(f"  {rule}: {len(found)}, first {found[:3]}; logs in {directory}")
--- a/benchmarks/soak.py
+++ b/benchmarks/soak.py
@@ -25,7 +25,7 @@
 from rosepath.errors import ExchangeError
 from rosepath.http_client import HttpPool, Request
 from rosepath_standins.cluster import Cluster, Daemon, Process
-from rosepath_standins.tokens import answer_text
+from rosepath_standins.tokens import response_text
 
 DATA_CENTRES = ("casa-a", "casa-b", "casa-c", "casa-d")
 ENTRY_VMS = 8
@@ -138,7 +138,7 @@
             if line.startswith(b"data: {")
         ]
         text = "".join(c["text"] for e in events for c in e.get("choices", ()))
-        expected = answer_text(model, prompt, tokens)
+        expected = response_text(model, prompt, tokens)
         if response.endswith(b"data: [DONE]\n\n") and text == expected:
             self.results.counts["complete answers"] += 1
         elif events and "error" in events[-1] and expected.startswith(text):
--- a/src/rosepath_standins/demo.py
+++ b/src/rosepath_standins/demo.py
@@ -8,7 +8,7 @@
 from typing import Any
 
 from rosepath_standins.cluster import Cluster, caller_declaration
-from rosepath_standins.tokens import answer_text
+from rosepath_standins.tokens import response_text
 
 KEY = "demo-key"
 SPLIT_REQUESTS = 100
@@ -121,7 +121,7 @@
         response = await _post(cluster, daemon.callers, "/v1/completions", body)
         text = response["choices"][0]["text"]
         for target in ("claim-drafts", "claim-drafts@v2"):
-            counts[target] += text == answer_text(target, prompt, 4)
+            counts[target] += text == response_text(target, prompt, 4)
     if sum(counts.values()) != SPLIT_REQUESTS:
         raise RuntimeError(f"some responses are incomplete or wrong: {counts}")
     print(f"split over {SPLIT_REQUESTS} requests: {dict(counts)}")
--- a/src/rosepath_standins/entry_fleet.py
+++ b/src/rosepath_standins/entry_fleet.py
@@ -25,10 +25,10 @@
 
 HOST = "court.example"
 SERVICE = "desk"
-EVENTS = 10
+EVENTS_PER_STREAM = 10
 EVENT_INTERVAL_S = 0.02
 RESPONSE_DELAY_S = 0.02
-CRASHING = "/look/crashing"
+CRASHING_PATH = "/look/crashing"
 CRASH_DELAY_S = 0.03
 RETRY_AFTER_S = 3.0
 DRAIN_S = 2.0
@@ -62,15 +62,17 @@
     """Record the requests that reached the servers, and the crashes."""
 
     # The entry VM to which each request was sent, by request id.
-    vm_of: dict[str, str] = field(default_factory=dict)
+    vm_by_request: dict[str, str] = field(default_factory=dict)
     arrivals: Counter[str] = field(default_factory=Counter)
     runs: Counter[str] = field(default_factory=Counter)
     # Server, VM and time of each request that a server received.
-    reached: list[tuple[str, str, float]] = field(default_factory=list)
-    told_leaving_s: dict[tuple[str, str], float] = field(default_factory=dict)
-    sheds: list[tuple[str, str, float]] = field(default_factory=list)
-    crashes_s: dict[str, list[float]] = field(default_factory=lambda: defaultdict(list))
-    crashing: list[tuple[str, str, float]] = field(default_factory=list)
+    received_requests: list[tuple[str, str, float]] = field(default_factory=list)
+    departure_signalled_s: dict[tuple[str, str], float] = field(default_factory=dict)
+    shed_requests: list[tuple[str, str, float]] = field(default_factory=list)
+    crash_times_s: dict[str, list[float]] = field(
+        default_factory=lambda: defaultdict(list)
+    )
+    crashing_requests: list[tuple[str, str, float]] = field(default_factory=list)
 
 
 @dataclass(slots=True)
@@ -81,23 +83,23 @@
     """
 
     name: str
-    witness: RequestLog
+    request_log: RequestLog
     started_ms: int
     port: int = 0
-    leaving: bool = False
+    draining: bool = False
     shedding: bool = False
-    up: bool = False
+    listening: bool = False
     _listener: asyncio.Server | None = None
     _writers: set[asyncio.StreamWriter] = field(default_factory=set)
 
     async def listen(self) -> None:
         self.port = self.port or free_port()
         self._listener = await asyncio.start_server(self._serve, "127.0.0.1", self.port)
-        self.up = True
+        self.listening = True
 
     def crash(self) -> None:
         """Close the listener and abort every connection."""
-        self.up = False
+        self.listening = False
         if self._listener is not None:
             self._listener.close()
         for writer in list(self._writers):
@@ -125,25 +127,25 @@
         headers = dict(entry.lower().split(": ", 1) for entry in rest)
         await reader.readexactly(int(headers.get("content-length", "0")))
         request_id = headers["request-id"]
-        vm, now_s = self.witness.vm_of[request_id], time.monotonic()
+        vm, now_s = self.request_log.vm_by_request[request_id], time.monotonic()
         if headers["target-instance"] != self.name:
             self._write(writer, 421, request_id, b"")
             return
-        self.witness.arrivals[request_id] += 1
-        self.witness.reached.append((self.name, vm, now_s))
-        if self.leaving:
-            self.witness.told_leaving_s.setdefault((self.name, vm), now_s)
+        self.request_log.arrivals[request_id] += 1
+        self.request_log.received_requests.append((self.name, vm, now_s))
+        if self.draining:
+            self.request_log.departure_signalled_s.setdefault((self.name, vm), now_s)
         if self.shedding:
-            self.witness.sheds.append((self.name, vm, now_s))
+            self.request_log.shed_requests.append((self.name, vm, now_s))
             self._write(
                 writer, 503, request_id, b"", SHED_HEADERS.format(RETRY_AFTER_S)
             )
             return
-        self.witness.runs[request_id] += 1
-        if path.startswith(CRASHING):
-            self.witness.crashing.append((path, vm, now_s))
+        self.request_log.runs[request_id] += 1
+        if path.startswith(CRASHING_PATH):
+            self.request_log.crashing_requests.append((path, vm, now_s))
             await asyncio.sleep(CRASH_DELAY_S)
-            self.witness.crashes_s[path].append(time.monotonic())
+            self.request_log.crash_times_s[path].append(time.monotonic())
             self.crash()
             raise ConnectionResetError
         if path.startswith("/draft/"):
@@ -158,7 +160,7 @@
     ) -> None:
         head = self._head(200, request_id) + "Transfer-Encoding: chunked\r\n\r\n"
         writer.write(head.encode())
-        for number in range(first, EVENTS + 1):
+        for number in range(first, EVENTS_PER_STREAM + 1):
             await asyncio.sleep(EVENT_INTERVAL_S)
             event = f"id: {number}\ndata: {request_id}\n\n".encode()
             writer.write(b"%x\r\n%b\r\n" % (len(event), event))
@@ -178,8 +180,8 @@
 
     def _head(self, status: int, request_id: str) -> str:
         signed = "Response-Signature: s\r\n" if status == 200 else ""
-        leaving = "Server-Leaving: 1\r\n" if self.leaving else ""
-        return f"HTTP/1.1 {status} X\r\nRequest-Id: {request_id}\r\n{signed}{leaving}"
+        draining = "Server-Leaving: 1\r\n" if self.draining else ""
+        return f"HTTP/1.1 {status} X\r\nRequest-Id: {request_id}\r\n{signed}{draining}"
 
 
 @dataclass(slots=True)
@@ -198,10 +200,10 @@
     process: subprocess.Popen[bytes] | None = None
     # When it was killed, started, paused or resumed, and when a stop was sent.
     disturbances_s: list[float] = field(default_factory=list)
-    stopped_s: list[float] = field(default_factory=list)
+    stop_sent_s: list[float] = field(default_factory=list)
     # Intervals of planned stops, and of a cut or slow link to the store.
-    stops_s: list[tuple[float, float]] = field(default_factory=list)
-    parted_s: list[tuple[float, float]] = field(default_factory=list)
+    stop_intervals_s: list[tuple[float, float]] = field(default_factory=list)
+    store_fault_intervals_s: list[tuple[float, float]] = field(default_factory=list)
 
     @property
     def address(self) -> str:
@@ -234,13 +236,13 @@
             stderr=log,
         )
         log.close()
-        self.note_disturbed()
+        self.note_disturbance()
 
     def send(self, number: signal.Signals) -> None:
         if self.process is not None and self.process.poll() is None:
             os.kill(self.process.pid, number)
 
-    def note_disturbed(self) -> None:
+    def note_disturbance(self) -> None:
         self.disturbances_s.append(time.monotonic())
 
     def undisturbed(self, from_s: float, to_s: float) -> bool:
@@ -260,7 +262,7 @@
     """
 
     added_s: float = math.inf
-    dropping_s: float = math.inf
+    drop_sent_s: float = math.inf
     dropped_s: float = math.inf
 
 
@@ -269,16 +271,16 @@
     """Own the store, the servers and the entry VMs of a soak run."""
 
     directory: Path
-    witness: RequestLog = field(default_factory=RequestLog)
+    request_log: RequestLog = field(default_factory=RequestLog)
     state: PlatformState | None = None
     servers: dict[str, Server] = field(default_factory=dict)
     vms: dict[str, EntryVm] = field(default_factory=dict)
     instance_count: int = 0
     # All routes that were added, and those of them that were not dropped.
-    added: dict[str, AddedRoute] = field(default_factory=dict)
+    added_routes: dict[str, AddedRoute] = field(default_factory=dict)
     active_routes: list[str] = field(default_factory=list)
     # Intervals in which this process, and so the store, was stalled.
-    stalls_s: list[tuple[float, float]] = field(default_factory=list)
+    stall_intervals_s: list[tuple[float, float]] = field(default_factory=list)
 
     async def start(self, *, vms: int, servers: int) -> None:
         app, self.state = make_platform(PlatformOptions())
@@ -308,13 +310,13 @@
 
         Once `MAX_ADDED_ROUTES` are present, drop a random one of them.
         """
-        name, dropped = f"new-{len(self.added)}", AddedRoute()
+        name, dropped = f"new-{len(self.added_routes)}", AddedRoute()
         if len(self.active_routes) >= MAX_ADDED_ROUTES:
-            dropped = self.added[
+            dropped = self.added_routes[
                 self.active_routes.pop(rng.randrange(MAX_ADDED_ROUTES))
             ]
-        dropped.dropping_s = time.monotonic()
-        route = self.added[name] = AddedRoute()
+        dropped.drop_sent_s = time.monotonic()
+        route = self.added_routes[name] = AddedRoute()
         self.active_routes.append(name)
         extra_routes = (
             LARGE_ROUTE_COUNT if rng.random() < LARGE_CONFIGURATION_SHARE else 0
@@ -322,13 +324,15 @@
         names = self.active_routes + [
             f"crowd-{number}" for number in range(extra_routes)
         ]
-        await self.write("config/main", _configuration(1 + len(self.added), names))
+        await self.write(
+            "config/main", _configuration(1 + len(self.added_routes), names)
+        )
         route.added_s = dropped.dropped_s = time.monotonic()
 
     async def add_server(self, *, port: int = 0) -> Server:
         self.instance_count += 1
         started_ms = int(time.time() * 1000)
-        server = Server(f"i-{self.instance_count}", self.witness, started_ms, port)
+        server = Server(f"i-{self.instance_count}", self.request_log, started_ms, port)
         await server.listen()
         self.servers[server.name] = server
         await self.write_entry(server)
--- a/src/rosepath_standins/fault_proxy.py
+++ b/src/rosepath_standins/fault_proxy.py
@@ -47,7 +47,7 @@
         self.address = f"{host}:{chosen}"
         return self.address
 
-    def start_now(self) -> str:
+    def start_in_background(self) -> str:
         """Bind to an address now and start to serve from a background task."""
         listener = socket.create_server(("127.0.0.1", 0))
         host, chosen = listener.getsockname()[:2]
--- a/src/rosepath_standins/load.py
+++ b/src/rosepath_standins/load.py
@@ -12,7 +12,7 @@
 
 from rosepath.errors import ExchangeError
 from rosepath.http_client import HttpPool, Request, ResponseHead
-from rosepath_standins.tokens import answer_text
+from rosepath_standins.tokens import response_text
 
 MAX_DURATION_S = 1200.0
 MAX_REQUESTS = 2_000_000
@@ -175,7 +175,7 @@
         if not self._shape.check:
             result.whole += 1
             return
-        expected = answer_text(model, prompt, self._shape.tokens)
+        expected = response_text(model, prompt, self._shape.tokens)
         if _text(body) == expected:
             result.whole += 1
         else:
--- a/src/rosepath_standins/tokens.py
+++ b/src/rosepath_standins/tokens.py
@@ -11,6 +11,6 @@
     return f"w{(seed + offset * 7919) % TEXT_WORDS:04d} "
 
 
-def answer_text(target: str, prompt: str, tokens: int) -> str:
+def response_text(target: str, prompt: str, tokens: int) -> str:
     """Return the whole response to a prompt."""
     return "".join(token_text(target, prompt, offset) for offset in range(tokens))
--- a/tests/test_acting_as_one.py
+++ b/tests/test_acting_as_one.py
@@ -33,7 +33,7 @@
         assert self.platform is not None
         platform_proxy = FaultProxy(self.platform.address)
         for proxy in (peer_proxy, platform_proxy):
-            proxy.start_now()
+            proxy.start_in_background()
         self.peer_proxies[name] = peer_proxy
         self.platform_proxies[name] = platform_proxy
         return super().start_entry_vm(
--- a/tests/test_callers.py
+++ b/tests/test_callers.py
@@ -11,7 +11,7 @@
 import pytest
 from conftest import KEY, Background, Deployment
 
-from rosepath_standins.tokens import answer_text
+from rosepath_standins.tokens import response_text
 
 MESSAGES = [{"role": "user", "content": "which form?"}]
 PROMPT = "user: which form?\n"
@@ -46,7 +46,7 @@
     completion = client.chat.completions.create(
         model="court-rules", messages=MESSAGES, max_tokens=9
     )
-    assert completion.choices[0].message.content == answer_text(
+    assert completion.choices[0].message.content == response_text(
         "court-rules", PROMPT, 9
     )
     assert completion.usage is not None
@@ -66,7 +66,7 @@
     text = "".join(
         choice.delta.content or "" for chunk in chunks for choice in chunk.choices
     )
-    assert text == answer_text("court-rules:casablanca", PROMPT, 9)
+    assert text == response_text("court-rules:casablanca", PROMPT, 9)
     assert chunks[-1].usage is not None
 
 
@@ -78,7 +78,7 @@
         model="claim-drafts", prompt="p", max_tokens=5, stream=True
     )
     streamed = "".join(part.choices[0].text for part in parts)
-    assert whole.choices[0].text == streamed == answer_text("claim-drafts", "p", 5)
+    assert whole.choices[0].text == streamed == response_text("claim-drafts", "p", 5)
 
 
 def test_the_asynchronous_client_streams(base_url: str) -> None:
@@ -95,7 +95,7 @@
                 ]
             )
 
-    assert asyncio.run(run()) == answer_text("court-rules", PROMPT, 4)
+    assert asyncio.run(run()) == response_text("court-rules", PROMPT, 4)
 
 
 def test_errors_raise_the_exception_types_of_the_openai_client(
--- a/tests/test_promises.py
+++ b/tests/test_promises.py
@@ -13,7 +13,7 @@
 
 from rosepath.errors import ExchangeError
 from rosepath.http_client import HttpPool, Request
-from rosepath_standins.tokens import answer_text
+from rosepath_standins.tokens import response_text
 
 scenarios("features/promises.feature")
 
@@ -351,7 +351,7 @@
 @then("the answer is whole")
 def _whole(caller_view: CallerView) -> None:
     assert caller_view.status == 200, caller_view.body
-    assert text_of(caller_view.body) == answer_text(
+    assert text_of(caller_view.body) == response_text(
         "court-rules", PROMPT, caller_view.tokens
     )
     assert caller_view.body.endswith(b"data: [DONE]\n\n")
@@ -433,7 +433,7 @@
 @then("every answer of those callers was whole")
 def _all_whole(caller_view: CallerView) -> None:
     assert caller_view.texts
-    assert set(caller_view.texts) == {answer_text("court-rules", PROMPT, 5)}
+    assert set(caller_view.texts) == {response_text("court-rules", PROMPT, 5)}
 
 
 @then("that entry VM exits with code 0")
@@ -455,7 +455,7 @@
 
     answer = deployment.background.run(deployment.until(run, timeout_s=60))
     text = answer["result"]["choices"][0]["text"]
-    assert text == answer_text("claim-drafts", "night", 6)
+    assert text == response_text("claim-drafts", "night", 6)
 
 
 @then("the engines ran it once")
