--- a/src/rosepath/limits.py
+++ b/src/rosepath/limits.py
@@ -12,8 +12,7 @@
 
 @dataclass(slots=True)
 class LimitRow:
-    """
-    Hold the use of one limit on this node.
+    """Hold the use of one limit on this node.
 
     `own` are the requests in the node's own slots, `lent` maps requests to the
     borrowers of this node's slots and `borrowed` maps them to the lenders.
@@ -113,8 +112,7 @@
 
 
 def reclaim_lent(row: LimitRow, removed: frozenset[str]) -> None:
-    """
-    Reclaim slots lent to entry VMs that the platform has removed.
+    """Reclaim slots lent to entry VMs that the platform has removed.
 
     Inactivity is not enough: a partitioned borrower may still be running the
     request, and lending its slot again would exceed the limit.
--- a/src/rosepath/share_keeper.py
+++ b/src/rosepath/share_keeper.py
@@ -19,8 +19,7 @@
 
 
 class ShareKeeper:
-    """
-    Own the ledger as last read and the units in effect on this node.
+    """Own the ledger as last read and the units in effect on this node.
 
     The units in effect are reduced before a write that releases some, and
     increased only after a write that acquires some has succeeded.
@@ -58,8 +57,7 @@
         removed: frozenset[str],
         apply_reduced: Callable[[frozenset[int]], bool],
     ) -> bool:
-        """
-        Release or acquire units in at most one write; return whether it wrote.
+        """Release or acquire units in one write at most; return if it wrote.
 
         `apply_reduced` applies fewer units and returns whether the requests in
         flight fit them; until they do, the surplus is not released.
--- a/src/rosepath/shares.py
+++ b/src/rosepath/shares.py
@@ -1,5 +1,4 @@
-"""
-Divide declared limits over entry VMs so that the sum never exceeds them.
+"""Divide declared limits over entry VMs so that the sum never exceeds them.
 
 The store keeps one ledger of share units. A unit has one holder or none; a
 limit of C allows a holder, for each of its units u, the slots between
@@ -51,8 +50,7 @@
 def units_to_release(
     ledger: ShareLedger, *, me: str, live: frozenset[str]
 ) -> frozenset[int]:
-    """
-    Return the own units beyond the fair share while a node is underserved.
+    """Return the own units beyond the fair share while a node is underserved.
 
     A node is underserved if it holds less than half the fair share. Smaller
     differences are tolerated, as otherwise a join in a large fleet would make
@@ -74,8 +72,7 @@
 def units_to_acquire(
     ledger: ShareLedger, *, me: str, live: frozenset[str], removed: frozenset[str]
 ) -> frozenset[int]:
-    """
-    Return unassigned units and those of removed VMs, up to the fair share.
+    """Return unassigned units and those of removed VMs, up to the fair share.
 
     Once every live node has its fair share, remaining units are acquired one
     at a time by whichever node writes first.
