--- a/src/rosepath/crash_watch.py
+++ b/src/rosepath/crash_watch.py
@@ -77,7 +77,8 @@
         """Record a lost run and wait for the result of a probe of its server.
 
         A request that crashes servers must not be retried before that, or it
-        crashes the next server. Runs lost at a draining server are ignored.
+        crashes the next server. Runs lost at a draining server are ignored, as
+        it ends connections without a crash.
         """
         if not server.usable:
             return
--- a/src/rosepath/engine_orders.py
+++ b/src/rosepath/engine_orders.py
@@ -72,11 +72,11 @@
 class EngineRecord:
     """Hold an engine's contents as recorded by the lease holder.
 
-    `has_report` is set once a report was read, `known` while no further report
-    needs to be read. `adapters` maps `model/adapter` to the time of its last
-    use. `swap_in_progress` is set during a swap of this holder, which loads
-    the model `loading` by `load_due_s`. `engine_busy` is set while the engine
-    itself reports an order in progress.
+    `has_report` is set once a report was read, `is_current` while no further
+    report needs to be read. `adapters` maps `model/adapter` to the time of its
+    last use. `swap_in_progress` is set during a swap of this holder, which
+    loads the model `loading` by `load_due_s`. `engine_busy` is set while the
+    engine itself reports an order in progress.
     """
 
     server: str
--- a/src/rosepath/fleet.py
+++ b/src/rosepath/fleet.py
@@ -192,7 +192,7 @@
         self._born_ms: OrderedDict[str, int] = OrderedDict()
         self._gone_at: OrderedDict[str, int] = OrderedDict()
         # Latest start of each server that is known to be leaving. After a
-        # store outage, its lapsed entry may reappear as it was written before.
+        # store outage, its expired entry may reappear as written before.
         self._leaving: OrderedDict[str, int] = OrderedDict()
 
     def note_leaving(self, leaving: LeavingServer) -> bool:
--- a/src/rosepath/peer_exchange.py
+++ b/src/rosepath/peer_exchange.py
@@ -278,7 +278,10 @@
                 server.down_until_s = until_s
 
     def _apply_load(self, state: PeerState) -> None:
-        """Apply a VM's load to the servers of its last two messages."""
+        """Apply a VM's load to the servers of its last two messages.
+
+        A VM has load at only a few of all servers, so the others are skipped.
+        """
         servers = self._tables.fleet.servers
         for name in (
             self._servers_with_load.get(state.entry_vm, frozenset()) - state.load.keys()
--- a/src/rosepath/peer_messages.py
+++ b/src/rosepath/peer_messages.py
@@ -13,6 +13,7 @@
 
 # In a large fleet the holder of the placement lease sends the load of all
 # engines to every entry VM: below 1,400 bytes for 70 engines once compressed.
+# Messages up to this size are sent uncompressed.
 COMPRESSION_THRESHOLD_BYTES = 600
 # Reported as the time since an event that has not happened yet.
 NEVER_S = 1e6
@@ -55,8 +56,9 @@
 
     `start` identifies the sender's process and `number` the message within it;
     a message whose number is not higher than the last one applied is dropped.
-    `term` is above zero while the sender holds the placement lease. `heard` is
-    the start and number of the last message that it applied from the holder.
+    `term` is above zero while the sender holds the placement lease.
+    `holder_ack` is the start and number of the last message that it applied
+    from the holder.
 
     `load` is the sender's own. In a large fleet the holder sends `totals`, the
     load of all VMs, instead. `down` lists servers to which the sender
--- a/src/rosepath/store_watcher.py
+++ b/src/rosepath/store_watcher.py
@@ -272,7 +272,7 @@
 
         That time is None after a relaxed watch. Return None if the wait was
         cancelled: another VM has a newer revision, or the policy no longer
-        allows the wait. Long waits rely on the lease holder's status messages,
+        allows the wait. Long waits rely on the lease holder's state messages,
         which may have become too old.
         """
         watch = self._watch = self._begin_watch()
@@ -454,14 +454,20 @@
         return True
 
     def _cancel_relaxed_watch(self, revision: int, watch: _Watch) -> None:
-        """Cancel a relaxed watch if a revision has not arrived."""
+        """Cancel a relaxed watch if a revision has not arrived.
+
+        The next watch is a full one, which does not receive changes late.
+        """
         if watch is not self._watch or self.changed_revision >= revision:
             return
         if not watch.arriving:
             watch.call.cancel()
 
     def _mark_suspect(self, revision: int, watch: _Watch) -> None:
-        """Mark a watch as suspect if it has not returned a revision."""
+        """Mark a watch as suspect if it has not returned a revision.
+
+        The store is then read alongside it.
+        """
         if watch is not self._watch or self.changed_revision >= revision:
             return
         _log.warning("watch_doubted", kind=self._kind, revision=self.revision)
--- a/src/rosepath/watch_policy.py
+++ b/src/rosepath/watch_policy.py
@@ -56,9 +56,10 @@
     """Hold the conditions from which an entry VM chooses its watch policy.
 
     `told_age_s` is the age of the table that the lease holder's messages
-    cover, `bound_s` how soon a change must be acted on, `words_every_s` the
-    interval of this VM's own messages (0 if it does not hold the lease),
-    `crowded` whether it is one of many VMs that do not hold it.
+    cover, `staleness_limit_s` how soon a change must be acted on,
+    `message_interval_s` the interval of this VM's own messages (0 if it does
+    not hold the lease), `large_fleet` whether the fleet is large and this VM
+    does not hold the lease.
     """
 
     staleness_limit_s: float
