--- a/src/rosepath/dispatch.py
+++ b/src/rosepath/dispatch.py
@@ -233,8 +233,9 @@
 
         The server may still be working on the request. The attempt is kept if
         no retry is allowed or no replica outside `excluded` has a free slot,
-        as aborting it would fail a request that has time left. Takes a retry from the
-        budget if it returns True with time left and none was taken before.
+        as aborting it would fail a request that has time left. Takes a retry
+        from the budget if it returns True with time left and none was taken
+        before.
         """
         if attempt.left_s <= 0:
             return True
--- a/src/rosepath/engine_plan.py
+++ b/src/rosepath/engine_plan.py
@@ -77,8 +77,8 @@
 ) -> list[Swap]:
     """Return the next swaps, the most useful first, at most one per engine.
 
-    The last argument counts the unserved requests for each model without a
-    replica.
+    `unserved_requests` counts the requests that could not be served, for each
+    model without a replica.
     """
     state = PlanState.from_views(
         engines, models, demands, limits=limits, unserved_requests=unserved_requests
--- a/src/rosepath/store_watcher.py
+++ b/src/rosepath/store_watcher.py
@@ -211,7 +211,10 @@
                 backoff_s = min(backoff_s * 2, self._pace().backoff_max_s)
 
     async def _pause(self, pause_s: float) -> None:
-        """Pause after a failure, until a newer revision is known to exist."""
+        """Pause after a failure; a newer revision of an urgent kind ends it.
+
+        There is no pause if one became known since the failed call was sent.
+        """
         if self._urgent and self.behind:
             pause_s = min(pause_s, MAX_BACKOFF_BEHIND_S)
         with suppress(TimeoutError):
