--- a/src/rosepath/peer_link.py
+++ b/src/rosepath/peer_link.py
@@ -19,8 +19,9 @@
 from rosepath.peer_table import PeerTable
 from rosepath.settings import split_address
 
-# An unanswered adapter request is sent again after this. The round trip takes
-# about 2 ms and the load order that it causes about 20 ms.
+# An unanswered adapter request is sent again after this, as its datagram or the
+# reply may be lost. The round trip takes about 2 ms and the load order that it
+# causes about 20 ms.
 RESEND_AFTER_S = 0.08
 # A VM that was paused for longer does not forward the messages it finds: they
 # may have waited in its socket all that time.
