--- a/src/rosepath/dispatch.py
+++ b/src/rosepath/dispatch.py
@@ -57,8 +57,8 @@
     """State of one request over all its attempts.
 
     `refused` has the replicas that rejected the request without running it.
-    `paid` is True once the retry that follows the current attempt has been
-    taken from the retry budget.
+    `retry_reserved` is True once the retry that follows the current attempt
+    has been taken from the retry budget.
     """
 
     tried: set[str] = field(default_factory=set)
@@ -233,8 +233,9 @@
 
         The server may still be working on the request. The attempt is kept if
         no retry is allowed or no replica outside `excluded` has a free slot,
-        as aborting it would fail a request that has time left. Takes a retry from the
-        budget if it returns True with time left and none was taken before.
+        as aborting it would fail a request that has time left. Takes a retry
+        from the budget if it returns True with time left and none was taken
+        before.
         """
         if attempt.left_s <= 0:
             return True
