--- a/benchmarks/routing.py
+++ b/benchmarks/routing.py
@@ -71,7 +71,7 @@
         rng=router.rng,
     )
     assert chosen is not None
-    router.index.note(keys, chosen.name)
+    router.index.record(keys, chosen.name)
     return chosen
 
 
@@ -140,7 +140,7 @@
         return None
     finally:
         held_s = time.monotonic() - started_s
-        replica.hold_s += 0.1 * (held_s - replica.hold_s)
+        replica.mean_hold_s += 0.1 * (held_s - replica.mean_hold_s)
         replica.own_starts.pop(request_id, None)
     return first_s[0] if first_s else None
 
@@ -166,7 +166,7 @@
                     address=process.address,
                     slots=SLOTS,
                     resident=frozenset({"m"}),
-                    hold_s=0.3,
+                    mean_hold_s=0.3,
                 )
                 for name, process in cluster.engines.items()
             ],
--- a/src/rosepath/admission.py
+++ b/src/rosepath/admission.py
@@ -49,7 +49,7 @@
 
     async def _take_slot(self, row: LimitRow, request_id: str) -> None:
         if not row.full:
-            row.own.add(request_id)
+            row.own_requests.add(request_id)
             return
         lender = await self._borrow(row.name, request_id)
         if lender is not None:
@@ -75,7 +75,7 @@
             )
 
     def _release_slot(self, row: LimitRow, request_id: str) -> None:
-        row.own.discard(request_id)
+        row.own_requests.discard(request_id)
         lender = row.borrowed.pop(request_id, None)
         if lender is not None:
             asyncio.ensure_future(self._return_slot(lender, row.name, request_id))
--- a/src/rosepath/crash_records.py
+++ b/src/rosepath/crash_records.py
@@ -195,14 +195,14 @@
         record = self._records.get(content_key)
         return 0 if record is None else len(record.open_crashes(self._explained))
 
-    def crashed(self, content_key: str) -> list[str]:
+    def crashed_servers(self, content_key: str) -> list[str]:
         """Return the servers that crashed with a request in flight."""
         record = self._records.get(content_key)
         return (
             [] if record is None else [instance.server for instance in record.exposures]
         )
 
-    def told(self) -> tuple[CrashReport, ...]:
+    def recent_reports(self) -> tuple[CrashReport, ...]:
         """Return the reports that other VMs may not have received yet."""
         limit_s = self._clock.monotonic_s() - REPORT_TTL_S
         while (
--- a/src/rosepath/demand.py
+++ b/src/rosepath/demand.py
@@ -65,12 +65,12 @@
     def __init__(self) -> None:
         self._windows: dict[tuple[str, str], _Window] = {}
 
-    def ask(self, service: str, prompt: Prompt, *, now_s: float) -> None:
+    def count_request(self, service: str, prompt: Prompt, *, now_s: float) -> None:
         """Count an incoming request, whatever its outcome."""
         window = self._windows.setdefault((service, prompt.model), _Window())
         window.requested_s.append(now_s)
 
-    def note(
+    def record_prefill(
         self, service: str, prompt: Prompt, *, unread_tokens: int, now_s: float
     ) -> None:
         """Record the prompt tokens that an engine prefills for a request."""
@@ -78,7 +78,9 @@
         window = self._windows.setdefault((service, prompt.model), _Window())
         window.prefills.append((now_s, prefill_s, prompt.adapter))
 
-    def wait(self, service: str, prompt: Prompt, *, step: int, now_s: float) -> None:
+    def count_waiting(
+        self, service: str, prompt: Prompt, *, step: int, now_s: float
+    ) -> None:
         """Count a request that starts (1) or stops (-1) waiting for a model.
 
         The adapter counts as requested at once; the prefill load is recorded
--- a/src/rosepath/demand_history.py
+++ b/src/rosepath/demand_history.py
@@ -22,7 +22,7 @@
     unserved_requests: dict[str, float] = field(default_factory=dict)
     _updated_s: float | None = None
 
-    def note(
+    def update(
         self,
         demands: Mapping[str, ModelDemand],
         *,
--- a/src/rosepath/departure_log.py
+++ b/src/rosepath/departure_log.py
@@ -23,17 +23,17 @@
         # In the order in which this VM learned of them.
         self._learned: dict[str, tuple[float, LeavingServer]] = {}
 
-    def begin(self) -> None:
+    def start_listing(self) -> None:
         """Note that every departure is recorded from now on."""
         self._complete_since_s = min(self._complete_since_s, self._clock.monotonic_s())
 
-    def note(self, server: LeavingServer) -> None:
+    def record(self, server: LeavingServer) -> None:
         """Record a departure that was not known before."""
         self._drop_expired()
         self._learned.pop(server.name, None)
         self._learned[server.name] = (self._clock.monotonic_s(), server)
 
-    def told(self) -> tuple[tuple[LeavingServer, ...], float]:
+    def recent(self) -> tuple[tuple[LeavingServer, ...], float]:
         """Return the latest departures and how far back they are complete."""
         self._drop_expired()
         learned = list(self._learned.values())
--- a/src/rosepath/dispatch.py
+++ b/src/rosepath/dispatch.py
@@ -125,7 +125,7 @@
             except (ExchangeError, NotRunError, StreamBrokenError) as error:
                 self._after_failure(replica, error, request_options, checker, history)
             else:
-                self.prefixes.note(keys, replica.name)
+                self.prefixes.record(keys, replica.name)
         self._count_dropped_chunks(checker)
         return checker
 
--- a/src/rosepath/entry_node.py
+++ b/src/rosepath/entry_node.py
@@ -191,7 +191,7 @@
                 fleet_changed=self.tables.changed,
                 cut_off=lambda: self.peers.cut_off(settings.data_centre),
                 wait_limit_s=lambda: self.wait_limit_s,
-                on_outcome=self.records.note,
+                on_outcome=self.records.record,
                 crashes=self.crashes,
                 on_leaving=self._apply_announced_departure,
                 fleet_fresh_enough=lambda: self.tables.fresh_enough,
--- a/src/rosepath/fleet.py
+++ b/src/rosepath/fleet.py
@@ -134,7 +134,7 @@
         probing = self.half_open and now_s < self.probed_s + HALF_OPEN_PROBE_S
         return self.usable and not self.in_backoff(now_s) and not probing
 
-    def moved_ago_s(self, now_s: float) -> float | None:
+    def idle_s(self, now_s: float) -> float | None:
         """Return the time since its last progress for this VM, if any."""
         return (
             None
--- a/src/rosepath/gateway.py
+++ b/src/rosepath/gateway.py
@@ -35,7 +35,7 @@
         self.path = ""
         self.headers = HTTPHeaders()
         self.arrived_s = 0.0
-        self.begun = False
+        self.response_started = False
         self.done = False
         self._body: list[bytes] = []
         self._gateway = gateway
@@ -122,11 +122,11 @@
 
     # Called by the relay
 
-    def begin(
+    def start_response(
         self, status: int, headers: HTTPHeaders, *, length: int | None = None
     ) -> None:
         """Write the status line and headers of the response."""
-        self.begun = True
+        self.response_started = True
         if length is not None:
             headers["Content-Length"] = str(length)
         if self._gateway.closing:
@@ -158,9 +158,9 @@
             self._connection._disconnect_on_finish = True
         self._connection.finish()
 
-    def answer(self, status: int, headers: HTTPHeaders, body: bytes) -> None:
+    def respond(self, status: int, headers: HTTPHeaders, body: bytes) -> None:
         """Write a complete response."""
-        self.begin(status, headers, length=len(body))
+        self.start_response(status, headers, length=len(body))
         self.write(body)
         self.end()
 
--- a/src/rosepath/isolated_runs.py
+++ b/src/rosepath/isolated_runs.py
@@ -86,7 +86,9 @@
         if own is not None and own.request_id == request_id:
             del self._own_runs[content_key]
 
-    def hear(self, entry_vm: str, runs: Mapping[str, str], *, now_s: float) -> bool:
+    def apply_peer_runs(
+        self, entry_vm: str, runs: Mapping[str, str], *, now_s: float
+    ) -> bool:
         """Apply the isolated runs of a peer; return whether any are new."""
         _, known = self._peer_runs.get(entry_vm, (now_s, {}))
         if runs:
@@ -95,7 +97,7 @@
             self._peer_runs.pop(entry_vm, None)
         return bool(runs.keys() - known.keys())
 
-    def told(self, *, merged: bool, now_s: float) -> dict[str, str]:
+    def servers_by_key(self, *, merged: bool, now_s: float) -> dict[str, str]:
         """Return the server of each run by content key.
 
         With `merged`, include the runs received from other VMs.
@@ -108,7 +110,7 @@
 
     def servers(self, *, now_s: float) -> frozenset[str]:
         """Return the servers at which suspects run isolated."""
-        return frozenset(self.told(merged=True, now_s=now_s).values()) - {""}
+        return frozenset(self.servers_by_key(merged=True, now_s=now_s).values()) - {""}
 
     def _recent_peer_runs(self, now_s: float) -> list[tuple[str, Mapping[str, str]]]:
         """Return the runs of other VMs, without those that expired."""
--- a/src/rosepath/limits.py
+++ b/src/rosepath/limits.py
@@ -12,25 +12,24 @@
 
 @dataclass(slots=True)
 class LimitRow:
-    """
-    Hold the use of one limit on this node.
+    """Hold the use of one limit on this entry VM.
 
-    `own` are the requests in the node's own slots, `lent` maps requests to the
-    borrowers of this node's slots and `borrowed` maps them to the lenders.
+    `own_requests` are the requests in the VM's own slots, `lent` maps requests
+    to the borrowers of this VM's slots and `borrowed` maps them to the lenders.
     """
 
     name: str
     limit: Limit
     units: int = 0
     slots: int = 0
-    own: set[str] = field(default_factory=set)
+    own_requests: set[str] = field(default_factory=set)
     lent: dict[str, str] = field(default_factory=dict)
     borrowed: dict[str, str] = field(default_factory=dict)
     bucket: TokenBucket | None = None
 
     @property
     def in_use(self) -> int:
-        return len(self.own) + len(self.lent)
+        return len(self.own_requests) + len(self.lent)
 
     @property
     def full(self) -> bool:
@@ -49,7 +48,11 @@
             old = row
             row = LimitRow(name, limit)
             if old is not None:
-                row.own, row.lent, row.borrowed = old.own, old.lent, old.borrowed
+                row.own_requests, row.lent, row.borrowed = (
+                    old.own_requests,
+                    old.lent,
+                    old.borrowed,
+                )
             rows[name] = row
         row.units = len(units)
         if limit.concurrency is not None:
--- a/src/rosepath/model_arrivals.py
+++ b/src/rosepath/model_arrivals.py
@@ -45,7 +45,9 @@
     _due_s: dict[str, float] = field(default_factory=dict)
     _updated_s: float = -1e9
 
-    def hear(self, arrivals: Iterable[ModelArrival], *, now_s: float) -> None:
+    def replace_announced(
+        self, arrivals: Iterable[ModelArrival], *, now_s: float
+    ) -> None:
         """Replace the announced loads with those of a new message."""
         self._updated_s = now_s
         self._due_s.clear()
--- a/src/rosepath/order_dispatcher.py
+++ b/src/rosepath/order_dispatcher.py
@@ -142,7 +142,7 @@
         service_objectives = catalog.objectives.get(service, Objectives())
         history = self._histories.setdefault(service, DemandHistory())
         held = {model for view in views for model in (*view.age_s, view.loading_model)}
-        history.note(demands, held=held, now_s=now_s)
+        history.update(demands, held=held, now_s=now_s)
         swaps = plan_swaps(
             views,
             spec.models,
--- a/src/rosepath/peer_exchange.py
+++ b/src/rosepath/peer_exchange.py
@@ -131,7 +131,7 @@
         ]
         holding = self._coordinator.term > 0
         sends_totals = holding and self.peers.large_fleet
-        leaving, complete_ago_s = self._tables.departures.told()
+        leaving, complete_ago_s = self._tables.departures.recent()
         if not holding:
             # Only the holder, which watches the store continuously, decides
             # whether an entry was removed or has only expired.
@@ -161,7 +161,7 @@
             arrivals=tuple(self._coordinator.orders.arrivals)
             if self._coordinator.term
             else (),
-            moves=tuple(self._coordinator.moves.recent()),
+            residency_changes=tuple(self._coordinator.residency_changes.recent()),
             known_ago_s=self._tables.reported_age_s if holding else NEVER_S,
             complete_ago_s=complete_ago_s,
             configuration_known_ago_s=self._tables.catalog_watcher.age.age_s
@@ -170,10 +170,12 @@
             leaving=leaving,
             down=tuple(unreached),
             totals=totals,
-            crashes=self._crashes.records.told(),
+            crashes=self._crashes.records.recent_reports(),
             cleared=self._crashes.records.cleared,
             quarantined=self._crashes.records.quarantined,
-            isolated=self._crashes.isolated.told(merged=sends_totals, now_s=now_s),
+            isolated=self._crashes.isolated.servers_by_key(
+                merged=sends_totals, now_s=now_s
+            ),
         )
 
     def send_state_soon(self) -> None:
@@ -193,8 +195,8 @@
             self._apply_totals(state)
         elif not self.peers.large_fleet or self._coordinator.term:
             self._apply_load(state)
-        self._tables.servers_watcher.hear(state.servers_revision)
-        self._tables.catalog_watcher.hear(state.configuration_revision)
+        self._tables.servers_watcher.note_peer_revision(state.servers_revision)
+        self._tables.catalog_watcher.note_peer_revision(state.configuration_revision)
         for server in state.leaving:
             known = self._tables.fleet.servers.get(server.name)
             if self._tables.apply_peer_departure(server) and known is not None:
@@ -211,11 +213,11 @@
     def _apply_ages(self, state: PeerState) -> None:
         """Apply the holder's reported ages in place of reads of the store."""
         tables = self._tables
-        tables.servers_watcher.age.hear(
+        tables.servers_watcher.age.note_peer_age(
             known_ago_s=state.known_ago_s, complete_ago_s=state.complete_ago_s
         )
         if state.configuration_revision <= tables.catalog_watcher.changed_revision:
-            tables.catalog_watcher.age.hear(
+            tables.catalog_watcher.age.note_peer_age(
                 known_ago_s=state.configuration_known_ago_s, complete_ago_s=math.inf
             )
 
@@ -260,7 +262,9 @@
         changes += [records.clear(key) for key in state.cleared]
         now_s = self._clock.monotonic_s()
         changes.append(
-            self._crashes.isolated.hear(state.entry_vm, state.isolated, now_s=now_s)
+            self._crashes.isolated.apply_peer_runs(
+                state.entry_vm, state.isolated, now_s=now_s
+            )
         )
         if any(changes):
             self._tables.notify_waiters()
--- a/src/rosepath/peer_link.py
+++ b/src/rosepath/peer_link.py
@@ -53,7 +53,7 @@
         self._clock = clock
         self._describe = describe
         self._on_state = on_state
-        self._on_ask = on_adapter_request
+        self._on_adapter_request = on_adapter_request
         self.start = uuid.uuid4().hex[:8]
         self._number = 0
         self._rng = random.Random()
@@ -143,7 +143,7 @@
         for peer in self._table.state_recipients(holding=state.term > 0, rng=self._rng):
             self._send_data(data, peer.address)
 
-    async def ask(
+    async def request_adapter(
         self, request: AdapterRequest, address: str, *, limit_s: float
     ) -> bool:
         """Send an adapter request; False if refused or unanswered in time."""
@@ -164,7 +164,7 @@
 
     async def _reply(self, request: AdapterRequest) -> None:
         try:
-            ready = await self._on_ask(request)
+            ready = await self._on_adapter_request(request)
             self._send(
                 AdapterReply(
                     adapter_request_id=request.adapter_request_id, ready=ready
--- a/src/rosepath/peer_messages.py
+++ b/src/rosepath/peer_messages.py
@@ -97,7 +97,7 @@
     leaving: tuple[LeavingServer, ...] = ()
     down: tuple[str, ...] = ()
     occupied: tuple[str, ...] = ()
-    moves: tuple[ResidencyChange, ...] = ()
+    residency_changes: tuple[ResidencyChange, ...] = ()
     totals: Mapping[str, PeerLoad] = field(default_factory=dict)
     arrivals: tuple[ModelArrival, ...] = ()
     crashes: tuple[CrashReport, ...] = ()
@@ -253,7 +253,7 @@
         "u": list(message.occupied),
         "m": [
             [move.number, move.server, move.model, move.adapter, int(move.present)]
-            for move in message.moves
+            for move in message.residency_changes
         ],
         "cr": [
             [report.content_key, *report.instance, int(report.exposure)]
@@ -308,7 +308,7 @@
         ),
         down=tuple(map(str, raw["d"])),
         occupied=tuple(map(str, raw["u"])),
-        moves=tuple(
+        residency_changes=tuple(
             ResidencyChange(
                 int(row[0]), str(row[1]), str(row[2]), str(row[3]), bool(row[4])
             )
--- a/src/rosepath/placement_coordinator.py
+++ b/src/rosepath/placement_coordinator.py
@@ -92,14 +92,14 @@
         self.resigned_version = 0
         self.handover = LeaseHandover()
         self._handover_accepted_s = -1e9
-        self.moves = ResidencyChanges(
+        self.residency_changes = ResidencyChanges(
             clock=clock,
             fleet=fleet,
             caches=caches,
             changed=changed,
             send_state=ThrottledCall(
                 self._send_state, interval_s=self._move_interval_s
-            ).ask,
+            ).request,
         )
         self._arrivals = ModelArrivals()
         self._was_holder = False
@@ -139,7 +139,7 @@
                 fence=lambda: self.leases.fence(LEASE_NAME),
                 demand=self.all_demand,
                 peer_update_interval_s=lambda: peers.interval_s,
-                on_residency_change=self.moves.note,
+                on_residency_change=self.residency_changes.record,
             )
         )
 
@@ -196,12 +196,14 @@
 
     def handle_peer_state(self, state: PeerState) -> None:
         """Apply the state message of another VM to the lease and the fleet."""
-        self.moves.hear(state)
+        self.residency_changes.apply_peer_state(state)
         start, number = state.holder_ack
         if self.link is not None and start == self.link.start:
             self._extension.note_ack(state.entry_vm, number)
         if state.term:
-            self._arrivals.hear(state.arrivals, now_s=self._clock.monotonic_s())
+            self._arrivals.replace_announced(
+                state.arrivals, now_s=self._clock.monotonic_s()
+            )
             self.leases.note_announcement(LEASE_NAME, version=state.lease_version)
         if state.handover.successor == self._me and not self._stopping():
             self._accept_handover(state)
@@ -217,13 +219,13 @@
 
     def note_request_received(self, service: str, prompt: Prompt) -> None:
         """Count a request that arrived for a model."""
-        self.demand.ask(service, prompt, now_s=self._clock.monotonic_s())
+        self.demand.count_request(service, prompt, now_s=self._clock.monotonic_s())
 
     def note_prefill_work(
         self, service: str, prompt: Prompt, *, unread_tokens: int
     ) -> None:
         """Add the prompt tokens that an engine must read for a request."""
-        self.demand.note(
+        self.demand.record_prefill(
             service,
             prompt,
             unread_tokens=unread_tokens,
@@ -233,7 +235,7 @@
     def note_waiting(self, service: str, prompt: Prompt, *, step: int) -> None:
         """Count a request that begins (1) or ends (-1) waiting for a model."""
         now_s = self._clock.monotonic_s()
-        self.demand.wait(service, prompt, step=step, now_s=now_s)
+        self.demand.count_waiting(service, prompt, step=step, now_s=now_s)
 
     def own_demand(self) -> dict[str, Mapping[str, ModelDemand]]:
         """Return the demand of this VM's callers, by service and model."""
@@ -255,7 +257,7 @@
         """Return when a model will be loaded on an engine, if known."""
         now_s = self._clock.monotonic_s()
         if self.holds_lease:
-            self._arrivals.hear(self.orders.arrivals, now_s=now_s)
+            self._arrivals.replace_announced(self.orders.arrivals, now_s=now_s)
         return self._arrivals.due_s(model, now_s=now_s)
 
     # The lease
@@ -416,7 +418,7 @@
         holder = self._peers.holder()
         if holder is None or self.link is None:
             return False
-        ask = AdapterRequest(
+        request = AdapterRequest(
             adapter_request_id=uuid.uuid4().hex[:12],
             reply_to=self._address,
             server=server.name,
@@ -424,13 +426,15 @@
             model=prompt.model,
             adapter=prompt.adapter,
         )
-        ready = await self.link.ask(ask, holder.address, limit_s=limit_s)
+        ready = await self.link.request_adapter(
+            request, holder.address, limit_s=limit_s
+        )
         if ready and prompt.model in server.held:
             server.held[prompt.model].add(prompt.adapter)
         return ready
 
-    async def handle_adapter_request(self, ask: AdapterRequest) -> bool:
-        """Load an adapter that another VM asks for; true once it is loaded."""
+    async def handle_adapter_request(self, request: AdapterRequest) -> bool:
+        """Load an adapter that another VM requests; true once it is loaded."""
         return self.holds_lease and await self.orders.ensure_adapter(
-            ask.service, ask.server, ask.model, ask.adapter
+            request.service, request.server, request.model, request.adapter
         )
--- a/src/rosepath/prefixes.py
+++ b/src/rosepath/prefixes.py
@@ -39,7 +39,7 @@
                 return holder
         return None
 
-    def note(self, keys: list[int], replica: str) -> None:
+    def record(self, keys: list[int], replica: str) -> None:
         """Record that a replica now has these prefixes cached."""
         for key in keys:
             self._holders[key] = replica
--- a/src/rosepath/relay.py
+++ b/src/rosepath/relay.py
@@ -185,7 +185,7 @@
         Raises RefusalError if the request can neither be retried nor the
         response be passed on.
         """
-        if answer.head.status < 500 and not context.exchange.begun:
+        if answer.head.status < 500 and not context.exchange.response_started:
             return False
         context.tried.add(server.name)
         context.attempt_evidence.append(Evidence.SENT)
@@ -196,7 +196,7 @@
             peer=server.name,
             evidence=Evidence.SENT,
         )
-        if context.exchange.begun:
+        if context.exchange.response_started:
             # The caller has received part of a stream. This response can't be
             # passed on, and ending the stream would make it look complete.
             await self._retry_policy.wait_to_retry(context, error)
@@ -214,8 +214,10 @@
             context.note_events(now_s=server.last_activity_s)
             flight.unread_tokens = 0
             self._suspects.note_events(context, flight)
-            if not context.exchange.begun:
-                context.exchange.begin(head.status, answer_headers(head.headers))
+            if not context.exchange.response_started:
+                context.exchange.start_response(
+                    head.status, answer_headers(head.headers)
+                )
             return context.exchange.write(events)
 
         event_sequence = context.event_sequence
@@ -288,7 +290,7 @@
             why=error.message,
             evidence=error.evidence.value,
             tries=len(context.attempt_evidence),
-            moved_ago_s=server.moved_ago_s(self._now_s()),
+            moved_ago_s=server.idle_s(self._now_s()),
             **lost_run_fields(context, server, error),
         )
         if error.withdrawn:
@@ -317,17 +319,17 @@
     ) -> None:
         context.answered_by = server.name
         exchange = context.exchange
-        if exchange.begun:
+        if exchange.response_started:
             exchange.end()
         else:
-            exchange.answer(
+            exchange.respond(
                 answer.head.status, answer_headers(answer.head.headers), answer.body
             )
         self._ports.on_outcome(context, answer.head.status, "")
 
     def _give_up(self, context: RequestContext, error: RefusalError) -> None:
         refusal = error.refusal
-        cut = context.exchange.begun
+        cut = context.exchange.response_started
         if cut:
             context.exchange.abort()
         else:
@@ -395,7 +397,7 @@
     ) -> None:
         body = json.dumps({"error": {"code": code, "message": message}}).encode()
         headers: HTTPHeaders = refusal_headers(request_id, retry_after_s=retry_after_s)
-        exchange.answer(status, headers, body)
+        exchange.respond(status, headers, body)
 
     def _now_s(self) -> float:
         return self._ports.clock.monotonic_s()
--- a/src/rosepath/request_context.py
+++ b/src/rosepath/request_context.py
@@ -146,6 +146,6 @@
         idempotent requests of plain services. They do not retry a stream that
         has begun or may have run.
         """
-        if self.exchange.begun:
+        if self.exchange.response_started:
             return True
         return self.event_sequence is not None and not self.not_run
--- a/src/rosepath/request_records.py
+++ b/src/rosepath/request_records.py
@@ -15,7 +15,7 @@
         self._metrics = metrics
         self._clock = clock
 
-    def note(self, context: RequestContext, status: int, code: str) -> None:
+    def record(self, context: RequestContext, status: int, code: str) -> None:
         """Count a finished request and log how it was routed."""
         kind = context.route.kind.value
         self._metrics.count("requests", kind=kind, status=str(status), code=code)
--- a/src/rosepath/residency_changes.py
+++ b/src/rosepath/residency_changes.py
@@ -40,12 +40,12 @@
         self._last_number = 0
         self._last_applied: dict[tuple[str, str], int] = {}
 
-    def note(self, name: str, model: str, adapter: str, present: bool) -> None:
+    def record(self, name: str, model: str, adapter: str, present: bool) -> None:
         """Apply and publish a change made by this VM's own order."""
         self._last_number += 1
-        move = ResidencyChange(self._last_number, name, model, adapter, present)
-        self._recent.append((self._clock.monotonic_s(), move))
-        self._apply(move)
+        change = ResidencyChange(self._last_number, name, model, adapter, present)
+        self._recent.append((self._clock.monotonic_s(), change))
+        self._apply(change)
         if not adapter:
             # VMs with requests waiting for the model, or about to send to an
             # unloaded one, need this at once; the next regular datagram may be
@@ -57,31 +57,31 @@
         limit_s = self._clock.monotonic_s() - CHANGES_PUBLISHED_S
         while self._recent and self._recent[0][0] < limit_s:
             self._recent.popleft()
-        return [move for _, move in self._recent]
+        return [change for _, change in self._recent]
 
-    def hear(self, state: PeerState) -> None:
+    def apply_peer_state(self, state: PeerState) -> None:
         """Apply another VM's new changes, and mark the occupied engines."""
         key = (state.entry_vm, state.start)
         last_applied = self._last_applied.get(key, 0)
-        for move in state.moves:
-            if move.number > last_applied:
-                self._apply(move)
-                self._last_applied[key] = move.number
+        for change in state.residency_changes:
+            if change.number > last_applied:
+                self._apply(change)
+                self._last_applied[key] = change.number
         until_s = self._clock.monotonic_s() + OCCUPIED_TTL_S
         for name in state.occupied:
             if name in self._fleet.servers:
                 self._fleet.servers[name].order_busy_until_s = until_s
 
-    def _apply(self, move: ResidencyChange) -> None:
-        server = self._fleet.servers.get(move.server)
+    def _apply(self, change: ResidencyChange) -> None:
+        server = self._fleet.servers.get(change.server)
         if server is None:
             return
-        if move.adapter:
-            adapters = server.held.get(move.model, set())
-            (adapters.add if move.present else adapters.discard)(move.adapter)
-        elif move.present:
-            server.held.setdefault(move.model, set())
+        if change.adapter:
+            adapters = server.held.get(change.model, set())
+            (adapters.add if change.present else adapters.discard)(change.adapter)
+        elif change.present:
+            server.held.setdefault(change.model, set())
         else:
-            server.held.pop(move.model, None)
-            self._caches.forget_model(move.server, move.model)
+            server.held.pop(change.model, None)
+            self._caches.forget_model(change.server, change.model)
         self._changed()
--- a/src/rosepath/retry_policy.py
+++ b/src/rosepath/retry_policy.py
@@ -87,11 +87,11 @@
         now_s, route = self._now_s(), context.route
         stay_reason = reason_to_stay(
             Silence(
-                begun=context.exchange.begun,
+                response_started=context.exchange.response_started,
                 check_after_s=self.stall_timeout_s(context),
                 duration_s=now_s - context.last_event_s,
                 caller_timeout_s=route.event_timeout_s,
-                server_idle_s=server.moved_ago_s(now_s),
+                server_idle_s=server.idle_s(now_s),
                 capacity_elsewhere=self._picker.has_capacity_elsewhere(context, server),
             ),
             lambda: self._reserve_retry(context),
@@ -102,7 +102,7 @@
                 request_id=context.call.request_id,
                 peer=server.name,
                 why=stay_reason.value,
-                moved_ago_s=server.moved_ago_s(now_s),
+                moved_ago_s=server.idle_s(now_s),
                 repeats_left=self.retries_left(context),
             )
         context.stay_reason = stay_reason
--- a/src/rosepath/routing.py
+++ b/src/rosepath/routing.py
@@ -43,7 +43,7 @@
     """Predict the time to the first token from load and slot times."""
     load = replica.load()
     queue_excess = max(0.0, load + 1 - replica.slots)
-    wait_s = queue_excess * replica.hold_s / max(1, replica.slots)
+    wait_s = queue_excess * replica.mean_hold_s / max(1, replica.slots)
     wait_s += load * PREFILL_PER_LOAD_S
     if replica.data_centre != data_centre:
         wait_s += REMOTE_PENALTY_S
@@ -154,4 +154,4 @@
     """Reset the failure count and update the mean slot time."""
     replica.failures = 0
     replica.suspect_until_s = 0.0
-    replica.hold_s += 0.1 * (held_s - replica.hold_s)
+    replica.mean_hold_s += 0.1 * (held_s - replica.mean_hold_s)
--- a/src/rosepath/server_picker.py
+++ b/src/rosepath/server_picker.py
@@ -139,7 +139,7 @@
             "request_quarantined",
             request_id=context.call.request_id,
             content=context.content_key,
-            crashed=self._ports.crashes.records.crashed(context.content_key),
+            crashed=self._ports.crashes.records.crashed_servers(context.content_key),
         )
         raise _refused(
             context,
--- a/src/rosepath/silence.py
+++ b/src/rosepath/silence.py
@@ -32,7 +32,7 @@
     anything for any request of this VM, None if it never did.
     """
 
-    begun: bool
+    response_started: bool
     check_after_s: float
     duration_s: float
     caller_timeout_s: float
@@ -46,7 +46,7 @@
         A dead connection is ruled out: the kernel's keepalive probes detect
         it.
         """
-        if not self.begun or self.server_idle_s is None:
+        if not self.response_started or self.server_idle_s is None:
             return False
         server_active = self.server_idle_s < self.check_after_s
         return (
--- a/src/rosepath/store_tables.py
+++ b/src/rosepath/store_tables.py
@@ -124,7 +124,7 @@
             gone_at=listing.revision,
         )
         self._apply_entries(listing.objects)
-        self.departures.begin()
+        self.departures.start_listing()
         _log.info("servers_listed", revision=listing.revision, count=len(listed))
 
     def _servers_changed(self, change: Change) -> None:
@@ -151,7 +151,7 @@
             taken = self.fleet.servers.get(entry.name)
             if entry.draining and taken and taken.entry is entry and not left:
                 self._log_server("server_leaving", entry.name)
-                self.departures.note(LeavingServer(entry.name, entry.born_ms))
+                self.departures.record(LeavingServer(entry.name, entry.born_ms))
         self.notify_waiters()
 
     def _remove_unreadable(self, stored: StoredObject) -> None:
@@ -213,7 +213,7 @@
         self.fleet.remove(name, gone_at=gone_at)
         if server is not None:
             self._on_gone(server)
-        self.departures.note(LeavingServer(name, gone_at=gone_at))
+        self.departures.record(LeavingServer(name, gone_at=gone_at))
 
     def apply_peer_departure(self, leaving: LeavingServer) -> bool:
         """Apply a departure reported by a peer; return whether it is new."""
@@ -221,7 +221,7 @@
             return False
         if leaving.gone_at:
             self._absent.pop(leaving.name, None)
-        self.departures.note(leaving)
+        self.departures.record(leaving)
         return True
 
     def apply_announced_departure(self, server: BackendServer) -> bool:
--- a/src/rosepath/store_watcher.py
+++ b/src/rosepath/store_watcher.py
@@ -410,7 +410,7 @@
             if not waiting.done():
                 waiting.set_result(None)
 
-    def hear(self, revision: int) -> None:
+    def note_peer_revision(self, revision: int) -> None:
         """Note that another VM has a revision of this kind."""
         if revision <= max(self.changed_revision, self._peer_revision):
             return
--- a/src/rosepath/table_age.py
+++ b/src/rosepath/table_age.py
@@ -45,7 +45,7 @@
         """Note a store read that returned every change up to `known_s`."""
         self.last_read_s = max(self.last_read_s, known_s)
 
-    def hear(self, *, known_ago_s: float, complete_ago_s: float) -> None:
+    def note_peer_age(self, *, known_ago_s: float, complete_ago_s: float) -> None:
         """Apply a message that covers all changes between two times.
 
         It applies only if all changes before the first of them are known
--- a/src/rosepath/tables.py
+++ b/src/rosepath/tables.py
@@ -56,7 +56,7 @@
     leaving: bool = False
     draining: bool = False
     own_starts: dict[str, float] = field(default_factory=dict)
-    hold_s: float = 0.5
+    mean_hold_s: float = 0.5
     suspect_until_s: float = 0.0
     # Until when it sheds the calls of this VM, as it said with a refusal.
     backoff_until_s: float = 0.0
--- a/src/rosepath/throttled_call.py
+++ b/src/rosepath/throttled_call.py
@@ -20,7 +20,7 @@
         self._throttled = False
         self._call_pending = False
 
-    def ask(self) -> None:
+    def request(self) -> None:
         """Make the call now, or at the end of the interval."""
         if self._throttled:
             self._call_pending = True
@@ -35,4 +35,4 @@
         self._throttled = False
         if self._call_pending:
             self._call_pending = False
-            self.ask()
+            self.request()
--- a/tests/crashing_servers.py
+++ b/tests/crashing_servers.py
@@ -173,7 +173,7 @@
         self._id = request_id
         self._crashing = world
 
-    def answer(self, status: int, _: HTTPHeaders, __: bytes) -> None:
+    def respond(self, status: int, _: HTTPHeaders, __: bytes) -> None:
         self._crashing.statuses.append((self._id, status))
 
 
--- a/tests/fleet_world.py
+++ b/tests/fleet_world.py
@@ -406,10 +406,10 @@
         self.headers = HTTPHeaders({"Host": "court.example", "Request-Id": request_id})
         self.body = b""
         self.arrived_s = now_s()
-        self.begun = False
+        self.response_started = False
         self._world = world
 
-    def answer(self, status: int, _: HTTPHeaders, __: bytes) -> None:
+    def respond(self, status: int, _: HTTPHeaders, __: bytes) -> None:
         if status != 200:
             self._world.refused += 1
 
--- a/tests/test_crash_records.py
+++ b/tests/test_crash_records.py
@@ -203,9 +203,9 @@
 def test_reports_are_sent_until_they_expire() -> None:
     clock = ManualClock()
     records = records_of(report("bad", "s1"), clock=clock)
-    assert records.told() == (report("bad", "s1"),)
+    assert records.recent_reports() == (report("bad", "s1"),)
     clock.advance(REPORT_TTL_S + 0.1)
-    assert records.told() == ()
+    assert records.recent_reports() == ()
 
 
 # Guards against reports of queued requests displacing that of one that had
@@ -216,8 +216,8 @@
         for number in range(3 * MAX_REPORTS_SENT)
     ]
     records = records_of(*queued[:20], report("bad", "s1"), *queued[20:])
-    assert report("bad", "s1") in records.told()
-    assert len(records.told()) == MAX_REPORTS_SENT
+    assert report("bad", "s1") in records.recent_reports()
+    assert len(records.recent_reports()) == MAX_REPORTS_SENT
 
 
 def test_cause_is_identified_among_many_queued_requests() -> None:
--- a/tests/test_entry_node.py
+++ b/tests/test_entry_node.py
@@ -86,7 +86,7 @@
     async def run() -> None:
         node = EntryNode(entry_settings("vm"))
         assert not node._state_values()["configuration_behind"]
-        node.tables.catalog_watcher.hear(7)
+        node.tables.catalog_watcher.note_peer_revision(7)
         assert node._state_values()["configuration_behind"]
         assert node._configuration_view().log_fields["configuration_behind"] is True
 
--- a/tests/test_holder_words.py
+++ b/tests/test_holder_words.py
@@ -44,7 +44,7 @@
 
     @property
     def moved_servers(self) -> list[str]:
-        """Return the servers of the moves in the last datagram; clear it."""
+        """Return and clear the servers of the changes in the last datagram."""
         data, self.last_datagram = self.last_datagram, b""
         if not data:
             return []
@@ -52,7 +52,7 @@
         if isinstance(message, ForwardedState):
             message = decode(message.payload)
         assert isinstance(message, PeerState)
-        return [move.server for move in message.moves]
+        return [change.server for change in message.residency_changes]
 
 
 def receive_states(peers: PeerTable, number: int, *, vms: int = VMS) -> None:
@@ -95,7 +95,7 @@
             a_peer_state("vm-0", number=number, term=1000),
             start=start,
             totals=totals,
-            moves=tuple(coordinator.moves.recent()),
+            residency_changes=tuple(coordinator.residency_changes.recent()),
         )
 
     coordinator.link = PeerLink(
@@ -120,7 +120,7 @@
         transport, peers = RecordingTransport(), PeerTable("vm-0", clock=LoopClock())
         holder = a_holder(transport, peers)
         for number in range(int(MOVES_PER_S * MEASURED_S)):
-            holder.moves.note(f"i-{number}", f"m{number}", "", True)
+            holder.residency_changes.record(f"i-{number}", f"m{number}", "", True)
             await asyncio.sleep(1 / MOVES_PER_S)
             receive_states(peers, number + 2)
         assert transport.sent_bytes * 8 / MEASURED_S < LINK_BITS / 4
@@ -136,7 +136,7 @@
         transport, peers = RecordingTransport(), PeerTable("vm-0", clock=LoopClock())
         holder = a_holder(transport, peers)
         for name in ("i-1", "i-2"):
-            holder.moves.note(name, "m1", "", True)
+            holder.residency_changes.record(name, "m1", "", True)
             assert transport.moved_servers[-1] == name
             await asyncio.sleep(MOVE_INTERVAL_LARGE_FLEET_S + 0.01)
             assert transport.moved_servers == []
@@ -150,10 +150,10 @@
     async def run() -> None:
         transport, peers = RecordingTransport(), PeerTable("vm-0", clock=LoopClock())
         holder = a_holder(transport, peers)
-        holder.moves.note("i-1", "m1", "", True)
+        holder.residency_changes.record("i-1", "m1", "", True)
         assert transport.moved_servers == ["i-1"]
         for name in ("i-2", "i-3"):
-            holder.moves.note(name, "m1", "", True)
+            holder.residency_changes.record(name, "m1", "", True)
             assert transport.moved_servers == []
         await asyncio.sleep(MOVE_INTERVAL_LARGE_FLEET_S + 0.01)
         assert transport.moved_servers == ["i-1", "i-2", "i-3"]
@@ -169,7 +169,7 @@
         transport, peers = RecordingTransport(), PeerTable("vm-0", clock=LoopClock())
         holder = a_holder(transport, peers, vms=2)
         for name in ("i-1", "i-2", "i-3"):
-            holder.moves.note(name, "m1", "", True)
+            holder.residency_changes.record(name, "m1", "", True)
             assert transport.moved_servers[-1] == name
 
     with asyncio.Runner(loop_factory=VirtualLoop) as runner:
--- a/tests/test_isolated_runs.py
+++ b/tests/test_isolated_runs.py
@@ -31,18 +31,18 @@
 
 def test_retry_waits_while_another_vm_runs_one_isolated() -> None:
     runs = IsolatedRuns()
-    assert runs.hear("vm-1", {"bad": "s1"}, now_s=NOW_S)
-    assert not runs.hear("vm-1", {"bad": "s1"}, now_s=NOW_S)
+    assert runs.apply_peer_runs("vm-1", {"bad": "s1"}, now_s=NOW_S)
+    assert not runs.apply_peer_runs("vm-1", {"bad": "s1"}, now_s=NOW_S)
     assert not may_start(runs)
     assert runs.servers(now_s=NOW_S) == {"s1"}
-    runs.hear("vm-1", {}, now_s=NOW_S)
+    runs.apply_peer_runs("vm-1", {}, now_s=NOW_S)
     assert may_start(runs)
 
 
 # Guards against a request waiting forever for the isolated run of a failed VM.
 def test_run_of_a_vm_that_stopped_sending_state_expires() -> None:
     runs = IsolatedRuns()
-    runs.hear("vm-1", {"bad": "s1"}, now_s=NOW_S)
+    runs.apply_peer_runs("vm-1", {"bad": "s1"}, now_s=NOW_S)
     assert may_start(runs, now_s=NOW_S + PEER_RUNS_TTL_S + 0.1)
 
 
@@ -55,8 +55,8 @@
     for me, runs in runs_by_vm.items():
         assert not may_start(runs, me=me, request_id=me, announces=True)
     for me, other in (("vm-1", "vm-2"), ("vm-2", "vm-1")):
-        sent_runs = runs_by_vm[other].told(merged=False, now_s=NOW_S)
-        runs_by_vm[me].hear(other, sent_runs, now_s=NOW_S)
+        sent_runs = runs_by_vm[other].servers_by_key(merged=False, now_s=NOW_S)
+        runs_by_vm[me].apply_peer_runs(other, sent_runs, now_s=NOW_S)
     later_s = NOW_S + ANNOUNCEMENT_S + 0.01
     starts = {
         me: may_start(runs, me=me, request_id=me, now_s=later_s, announces=True)
@@ -68,6 +68,6 @@
 def test_announced_run_is_withdrawn_if_another_vm_already_runs_it() -> None:
     runs = IsolatedRuns()
     assert not may_start(runs, me="vm-1", announces=True)
-    runs.hear("vm-2", {"bad": "s1"}, now_s=NOW_S)
+    runs.apply_peer_runs("vm-2", {"bad": "s1"}, now_s=NOW_S)
     later_s = NOW_S + ANNOUNCEMENT_S + 0.01
     assert not may_start(runs, me="vm-1", now_s=later_s, announces=True)
--- a/tests/test_leaves_untold.py
+++ b/tests/test_leaves_untold.py
@@ -56,11 +56,11 @@
     # the last seconds.
     clock = ManualClock()
     clock.advance(100.0)
-    _, complete_ago_s = DepartureLog(clock=clock).told()
+    _, complete_ago_s = DepartureLog(clock=clock).recent()
     assert complete_ago_s < RETENTION_S
     log = DepartureLog(clock=clock)
     clock.advance(0.5)
-    log.note(LeavingServer("i-0", gone_at=7))
-    leaves, complete_ago_s = log.told()
+    log.record(LeavingServer("i-0", gone_at=7))
+    leaves, complete_ago_s = log.recent()
     assert [leave.name for leave in leaves] == ["i-0"]
     assert complete_ago_s <= 0.5
--- a/tests/test_model_arrivals.py
+++ b/tests/test_model_arrivals.py
@@ -50,9 +50,9 @@
 def test_announced_loads_replace_earlier_ones_and_expire() -> None:
     arrivals = ModelArrivals()
     announced = (ModelArrival("e1", "m0", 4.0), ModelArrival("e2", "m0", 2.0))
-    arrivals.hear(announced, now_s=100.0)
+    arrivals.replace_announced(announced, now_s=100.0)
     assert arrivals.due_s("m0", now_s=100.1) == 102.0
     assert arrivals.due_s("m1", now_s=100.1) is None
     assert arrivals.due_s("m0", now_s=100.2 + ARRIVALS_TTL_S) is None
-    arrivals.hear((), now_s=102.0)
+    arrivals.replace_announced((), now_s=102.0)
     assert arrivals.due_s("m0", now_s=102.0) is None
--- a/tests/test_peer_configuration.py
+++ b/tests/test_peer_configuration.py
@@ -91,7 +91,7 @@
         """Announce a newer revision; return the time until it is applied."""
         loop = asyncio.get_running_loop()
         started_s = loop.time()
-        self.feed.hear(9)
+        self.feed.note_peer_revision(9)
         running = asyncio.ensure_future(self.fetcher.run())
         async with asyncio.timeout(limit_s):
             while self.feed.behind:  # noqa: ASYNC110
--- a/tests/test_peer_messages.py
+++ b/tests/test_peer_messages.py
@@ -43,7 +43,7 @@
         leaving=(LeavingServer("e9", 17), LeavingServer("e8", 0, 41)),
         occupied=("e2",),
         arrivals=(ModelArrival("e3", "m2", 1.25),),
-        moves=(ResidencyChange(1, "e1", "m", "a1", True),),
+        residency_changes=(ResidencyChange(1, "e1", "m", "a1", True),),
     )
     ask = AdapterRequest(
         adapter_request_id="1",
--- a/tests/test_reads_left_to_arrive.py
+++ b/tests/test_reads_left_to_arrive.py
@@ -76,7 +76,9 @@
     # That read is receiving the newer revision for which the watch is
     # cancelled.
     pace = WatchPolicy(wait_s=10.0, relaxed=True, copy_wait_s=0.1)
-    assert read_beside_a_silent_watch(pace, lambda feed: feed.hear(6)) == 1
+    assert (
+        read_beside_a_silent_watch(pace, lambda feed: feed.note_peer_revision(6)) == 1
+    )
 
 
 def test_a_change_that_watches_skip_is_read_once_a_peer_announces_it() -> None:
@@ -98,7 +100,7 @@
         feed = a_feed(taken_s, WatchPolicy(wait_s=0.6))
         following = asyncio.ensure_future(feed.run())
         await asyncio.sleep(3.0)
-        feed.hear(6)
+        feed.note_peer_revision(6)
         await asyncio.sleep(5.0)
         following.cancel()
         assert not feed.behind
--- a/tests/test_relay.py
+++ b/tests/test_relay.py
@@ -476,7 +476,7 @@
             Scripted("s1", answers),
             route=a_plain_route(RouteKind.IDEMPOTENT),
             configuration=lambda: BEHIND,
-            on_outcome=records.note,
+            on_outcome=records.record,
         ) as node:
             assert (await node.ask(LOOK_UP)).endswith(b"whole")
 
--- a/tests/test_routing.py
+++ b/tests/test_routing.py
@@ -82,12 +82,12 @@
 @given(st.text(min_size=BLOCK_CHARS, max_size=4 * BLOCK_CHARS), st.text(max_size=50))
 def test_a_longer_prompt_matches_its_indexed_prefix(prompt: str, more: str) -> None:
     index = PrefixIndex()
-    index.note(prefix_keys("m", prompt), "a")
+    index.record(prefix_keys("m", prompt), "a")
     assert index.find(prefix_keys("m", prompt + more)) == "a"
     assert index.find(prefix_keys("n", prompt + more)) is None
 
 
 def test_the_prefix_index_is_bounded() -> None:
     index = PrefixIndex(max_entries=10)
-    index.note(list(range(100)), "a")
+    index.record(list(range(100)), "a")
     assert len(index) == 10
--- a/tests/test_shares.py
+++ b/tests/test_shares.py
@@ -121,7 +121,7 @@
 
 def test_a_lent_slot_counts_until_returned() -> None:
     row = limit_rows(frozenset(range(UNITS)), concurrency=2)["l"]
-    row.own.add("x")
+    row.own_requests.add("x")
     assert lend(row, borrower="b", request_id="y")
     assert lend(row, borrower="b", request_id="y")
     assert not lend(row, borrower="b", request_id="z")
--- a/tests/test_store_calls.py
+++ b/tests/test_store_calls.py
@@ -212,7 +212,7 @@
     # Another VM on a faster link announces the revision while its body is in
     # transit to this one. Cancelled for that, the watch starts again at the
     # first byte.
-    asked, taken_s = follow_a_slow_answer(lambda feed: feed.hear(6))
+    asked, taken_s = follow_a_slow_answer(lambda feed: feed.note_peer_revision(6))
     assert len(asked) == 1
     assert taken_s[6] <= taken_s[5] + 1.5 + SLACK_S
 
@@ -252,7 +252,7 @@
         feed = a_feed(taken_s, pace=lambda: WatchPolicy(wait_s=wait_s[0]))
         following = asyncio.ensure_future(feed.run())
         await asyncio.sleep(0.1)
-        feed.hear(6)
+        feed.note_peer_revision(6)
         wait_s[0] = 0.2
         await asyncio.sleep(2.0)
         following.cancel()
--- a/tests/test_store_tables.py
+++ b/tests/test_store_tables.py
@@ -50,7 +50,7 @@
 def reported_removed(store_tables: StoreTables) -> list[str]:
     """Return the servers that are reported to other VMs as removed."""
     return [
-        server.name for server in store_tables.departures.told()[0] if server.gone_at
+        server.name for server in store_tables.departures.recent()[0] if server.gone_at
     ]
 
 
--- a/tests/test_store_watcher.py
+++ b/tests/test_store_watcher.py
@@ -171,7 +171,7 @@
         async with asyncio.timeout(10):
             while not listed.is_set():
                 revision += 1
-                feed.hear(revision)
+                feed.note_peer_revision(revision)
                 await asyncio.sleep(0)
         following.cancel()
 
@@ -238,7 +238,7 @@
         while len(relaxed_watches) < 2:  # noqa: ASYNC110
             await asyncio.sleep(0)
         assert feed.age.age_s == 5.0
-        feed.hear(7)
+        feed.note_peer_revision(7)
         while len(relaxed_watches) < 3:  # noqa: ASYNC110
             await asyncio.sleep(0)
         assert relaxed_watches == [True, True, False]
@@ -369,7 +369,7 @@
     # revision.
     async def course(feed: StoreWatcher) -> None:
         await asyncio.sleep(TAKES_S / 3)
-        feed.hear(9)
+        feed.note_peer_revision(9)
         await asyncio.sleep(MAX_PAUSE_S)
 
     assert run_after_backoff(course).gaps_s()[0] <= TAKES_S + RETRY_INTERVAL_S
@@ -380,11 +380,11 @@
     # revision, the pauses must not grow to their maximum again.
     async def course(feed: StoreWatcher) -> None:
         await asyncio.sleep(2 * TAKES_S)
-        feed.hear(9)
+        feed.note_peer_revision(9)
         for _ in range(100):
             # Other VMs repeat the revision in each message.
             await asyncio.sleep(0.2)
-            feed.hear(9)
+            feed.note_peer_revision(9)
 
     store = run_after_backoff(course)
     assert len(store.asked_s) >= 20 / (TAKES_S + RETRY_INTERVAL_S)
@@ -397,6 +397,6 @@
     async def course(feed: StoreWatcher) -> None:
         for _ in range(5 * 60):
             await asyncio.sleep(0.2)
-            feed.hear(0)
+            feed.note_peer_revision(0)
 
     assert len(run_after_backoff(course).asked_s) <= 3
--- a/tests/test_table_age.py
+++ b/tests/test_table_age.py
@@ -15,10 +15,10 @@
     age = TableAge(clock=clock, boot_clock=clock)
     age.note_store_read(clock.now_s)
     clock.advance(7.0)
-    age.hear(known_ago_s=0.1, complete_ago_s=5.0)
+    age.note_peer_age(known_ago_s=0.1, complete_ago_s=5.0)
     assert age.age_s == 7.0
     age.note_store_read(clock.now_s - 4.0)
-    age.hear(known_ago_s=0.1, complete_ago_s=5.0)
+    age.note_peer_age(known_ago_s=0.1, complete_ago_s=5.0)
     assert round(age.age_s, 3) == 0.1
 
 
@@ -31,10 +31,10 @@
     age.note_store_read(boot.now_s)
     boot.advance(3.0)
     assert age.age_s == 3.0
-    age.hear(known_ago_s=0.1, complete_ago_s=5.0)
+    age.note_peer_age(known_ago_s=0.1, complete_ago_s=5.0)
     assert age.age_s > 1000.0
     age.note_store_read(boot.now_s)
-    age.hear(known_ago_s=0.1, complete_ago_s=5.0)
+    age.note_peer_age(known_ago_s=0.1, complete_ago_s=5.0)
     assert age.age_s == 0.0
 
 
@@ -69,14 +69,14 @@
             for _ in range(1 if what == "leave" else MAX_REPORTED + 3):
                 name = f"i-{len(left_s)}"
                 left_s[name] = clock.now_s
-                log.note(LeavingServer(name, 1))
+                log.record(LeavingServer(name, 1))
         elif what == "look":
             known = set(left_s)
             age.note_store_read(clock.now_s)
         elif what == "word":
-            leaving, complete_ago_s = log.told()
+            leaving, complete_ago_s = log.recent()
             known |= {server.name for server in leaving}
-            age.hear(known_ago_s=0.0, complete_ago_s=complete_ago_s)
+            age.note_peer_age(known_ago_s=0.0, complete_ago_s=complete_ago_s)
         as_of_s = clock.now_s - age.age_s
         missed = {name for name, at_s in left_s.items() if at_s < as_of_s} - known
         assert not missed
--- a/tests/test_unknown_routes.py
+++ b/tests/test_unknown_routes.py
@@ -35,7 +35,7 @@
         self.took_s = 0.0
         self.response_headers = HTTPHeaders()
 
-    def answer(self, status: int, headers: HTTPHeaders, _: bytes) -> None:
+    def respond(self, status: int, headers: HTTPHeaders, _: bytes) -> None:
         assert not self.status
         self.status, self.response_headers = status, headers
         self.took_s = now_s() - self.arrived_s
@@ -79,7 +79,7 @@
     async def scenario(world: World, node: EntryNode) -> RecordingExchange:
         world.bytes_per_s[VM] = SIZE / (0.6 * WAIT_S)
         world.configure(3, paths=PATHS, size=SIZE)
-        node.tables.catalog_watcher.hear(world.revision)
+        node.tables.catalog_watcher.note_peer_revision(world.revision)
         return await send_request(world, NEW)
 
     exchange = send_in_scenario(monkeypatch, scenario)
@@ -95,7 +95,7 @@
     async def scenario(world: World, node: EntryNode) -> RecordingExchange:
         world.turn_away(VM)
         world.configure(3, paths=PATHS)
-        node.tables.catalog_watcher.hear(world.revision)
+        node.tables.catalog_watcher.note_peer_revision(world.revision)
         return await send_request(world, NEW)
 
     exchange = send_in_scenario(monkeypatch, scenario)
@@ -111,7 +111,7 @@
     async def scenario(world: World, node: EntryNode) -> RecordingExchange:
         world.turn_away(VM)
         world.configure(3, paths=PATHS)
-        node.tables.catalog_watcher.hear(world.revision)
+        node.tables.catalog_watcher.note_peer_revision(world.revision)
         return await send_request(world, "/drafts/1")
 
     exchange = send_in_scenario(monkeypatch, scenario)
@@ -125,7 +125,9 @@
     # The configuration is current, so there is nothing to wait for. A peer's
     # report of the revision in force does not make it outdated.
     async def scenario(world: World, node: EntryNode) -> RecordingExchange:
-        node.tables.catalog_watcher.hear(node.tables.catalog_watcher.changed_revision)
+        node.tables.catalog_watcher.note_peer_revision(
+            node.tables.catalog_watcher.changed_revision
+        )
         return await send_request(world, NEW)
 
     exchange = send_in_scenario(monkeypatch, scenario)
@@ -140,7 +142,7 @@
     async def scenario(world: World, node: EntryNode) -> RecordingExchange:
         world.bytes_per_s[VM] = SIZE / (0.6 * WAIT_S)
         world.configure(3, size=SIZE)
-        node.tables.catalog_watcher.hear(world.revision)
+        node.tables.catalog_watcher.note_peer_revision(world.revision)
         return await send_request(world, NEW)
 
     exchange = send_in_scenario(monkeypatch, scenario)
--- a/tests/timed_engines.py
+++ b/tests/timed_engines.py
@@ -168,15 +168,15 @@
     method: str = "POST"
     body: bytes = b""
     arrived_s: float = 0.0
-    begun: bool = False
+    response_started: bool = False
     status: int = 0
     heard: bytes = b""
     whole: bool = False
     cut: bool = False
     retry_after: str = ""
 
-    def begin(self, status: int, headers: HTTPHeaders) -> None:
-        self.begun = True
+    def start_response(self, status: int, headers: HTTPHeaders) -> None:
+        self.response_started = True
         self.status = status
         self.retry_after = headers.get("Retry-After", "")
 
@@ -186,8 +186,8 @@
     def end(self) -> None:
         self.whole = True
 
-    def answer(self, status: int, headers: HTTPHeaders, body: bytes) -> None:
-        self.begin(status, headers)
+    def respond(self, status: int, headers: HTTPHeaders, body: bytes) -> None:
+        self.start_response(status, headers)
         self.write(body)
         self.end()
 
