--- a/src/rosepath/dispatch.py
+++ b/src/rosepath/dispatch.py
@@ -57,8 +57,8 @@
     """State of one request over all its attempts.
 
     `refused` has the replicas that rejected the request without running it.
-    `paid` is True once the retry that follows the current attempt has been
-    taken from the retry budget.
+    `retry_reserved` is True once the retry that follows the current attempt
+    has been taken from the retry budget.
     """
 
     tried: set[str] = field(default_factory=set)
--- a/src/rosepath/leases.py
+++ b/src/rosepath/leases.py
@@ -132,7 +132,7 @@
 class Resignation:
     """Record that the holder of a lease version has stopped acting.
 
-    `acted_s` is the local time by which its last act had ended.
+    `last_action_s` is the local time by which its last action had ended.
     """
 
     version: int
--- a/src/rosepath/object_store.py
+++ b/src/rosepath/object_store.py
@@ -69,8 +69,8 @@
 class ListWatchPort(Protocol):
     """List one kind of objects and watch it for changes.
 
-    `on_begun` is called when the first byte of a response arrives. `fresh`
-    requests a new connection.
+    `on_response_start` is called when the first byte of a response arrives.
+    `fresh` requests a new connection.
     """
 
     async def list(
--- a/src/rosepath/order_sender.py
+++ b/src/rosepath/order_sender.py
@@ -28,7 +28,7 @@
 class OrderSender:
     """Send orders while this entry VM may, and track when the last one ended.
 
-    `outcomes` counts orders by kind and reply. `acted_s` is when the last
+    `outcomes` counts orders by kind and reply. `last_action_s` is when the last
     order was answered or abandoned, on a clock that keeps running while the VM
     is suspended. The next lease holder delays its own orders based on it.
     """
--- a/src/rosepath/peer_messages.py
+++ b/src/rosepath/peer_messages.py
@@ -55,8 +55,9 @@
 
     `start` identifies the sender's process and `number` the message within it;
     a message whose number is not higher than the last one applied is dropped.
-    `term` is above zero while the sender holds the placement lease. `heard` is
-    the start and number of the last message that it applied from the holder.
+    `term` is above zero while the sender holds the placement lease.
+    `holder_ack` is the start and number of the last message that it applied
+    from the holder.
 
     `load` is the sender's own. In a large fleet the holder sends `totals`, the
     load of all VMs, instead. `down` lists servers to which the sender
--- a/src/rosepath/placement_types.py
+++ b/src/rosepath/placement_types.py
@@ -29,7 +29,7 @@
     """Hold the state of one engine as planning sees it.
 
     `free_bytes` excludes memory that is committed to reservations. `ready`
-    are the loaded targets, `coming` those reserved or loading.
+    are the loaded targets, `pending` those reserved or loading.
     """
 
     name: str
--- a/src/rosepath/retries.py
+++ b/src/rosepath/retries.py
@@ -71,7 +71,8 @@
 class Attempt:
     """Describe a failed attempt, as input to the retry decision.
 
-    `paid` means that the next attempt is already paid for from the budget.
+    `retry_reserved` means that the next attempt is already taken from the
+    budget.
     """
 
     evidence: Evidence
--- a/src/rosepath/services.py
+++ b/src/rosepath/services.py
@@ -109,8 +109,8 @@
 class _AttemptHistory:
     """State of one call over all its attempts.
 
-    `paid` is True once the retry that follows the current attempt has been
-    taken from the retry budget.
+    `retry_reserved` is True once the retry that follows the current attempt
+    has been taken from the retry budget.
     """
 
     tried: set[str] = field(default_factory=set)
--- a/src/rosepath/watch_policy.py
+++ b/src/rosepath/watch_policy.py
@@ -27,9 +27,9 @@
 # Bursts of changes are batched. A VM that the lease holder's messages cover
 # batches for longer, as mostly new servers are missing from those messages.
 GATHER_S = 0.25
-GATHER_CROWDED_SHARE = 0.25
+GATHER_LARGE_FLEET_SHARE = 0.25
 GATHER_COVERED_S = 3.0
-GATHER_COVERED_CROWDED_S = 8.0
+GATHER_COVERED_LARGE_FLEET_S = 8.0
 # A watch without changes confirms nothing until it ends. The table that the
 # lease holder's messages cover is as old as its wait plus the message
 # interval, and must stay recent enough when one message is lost.
@@ -42,9 +42,9 @@
 # of history, and a watch begins up to 8 s after the previous one.
 COVERED_WAIT_S = 10.0
 # A configuration may be large. Read by many VMs at once, it saturates the
-# store's link and delays callers' streams on slow links; copies are
-# compressed.
-COPY_WAIT_CROWDED_S = 1.0
+# store's link and delays callers' streams on slow links; configurations
+# fetched from peers are compressed.
+COPY_WAIT_LARGE_FLEET_S = 1.0
 # While the store fails, covered VMs learn from messages of its recovery or
 # changes.
 BACKOFF_UNCOVERED_S = 0.5
@@ -56,9 +56,10 @@
     """Hold the conditions from which an entry VM chooses its watch policy.
 
     `told_age_s` is the age of the table that the lease holder's messages
-    cover, `bound_s` how soon a change must be acted on, `words_every_s` the
-    interval of this VM's own messages (0 if it does not hold the lease),
-    `crowded` whether it is one of many VMs that do not hold it.
+    cover, `staleness_limit_s` how soon a change must be acted on,
+    `message_interval_s` the interval of this VM's own messages (0 if it does
+    not hold the lease), `large_fleet` whether it is one of many VMs that do
+    not hold it.
     """
 
     staleness_limit_s: float
@@ -88,14 +89,14 @@
         large_fleet = following.large_fleet
         return WatchPolicy(
             wait_s=COVERED_WAIT_S,
-            gather_s=GATHER_COVERED_CROWDED_S if large_fleet else GATHER_COVERED_S,
+            gather_s=GATHER_COVERED_LARGE_FLEET_S if large_fleet else GATHER_COVERED_S,
             backoff_max_s=BACKOFF_COVERED_S,
             relaxed=True,
         )
     if following.large_fleet:
         return WatchPolicy(
             wait_s=following.wait_s,
-            gather_s=GATHER_CROWDED_SHARE * following.staleness_limit_s,
+            gather_s=GATHER_LARGE_FLEET_SHARE * following.staleness_limit_s,
             backoff_max_s=BACKOFF_COVERED_S,
         )
     return WatchPolicy(
@@ -115,5 +116,5 @@
         if covered or large_fleet
         else BACKOFF_UNCOVERED_S,
         relaxed=covered,
-        copy_wait_s=COPY_WAIT_CROWDED_S if large_fleet else 0.0,
+        copy_wait_s=COPY_WAIT_LARGE_FLEET_S if large_fleet else 0.0,
     )
