--- a/src/rosepath/cli_logs.py
+++ b/src/rosepath/cli_logs.py
@@ -18,7 +18,7 @@
     read = parse_log_lines(lines if files else sys.stdin)
     timeline = request_timeline(request_id, read)
     if not timeline:
-        print(f"rosepath: no log line has the request id {request_id}", file=sys.stderr)
+        print(f"rosepath: no line names {request_id}", file=sys.stderr)
         return EXIT_INVALID
     for line in timeline:
         print(line.formatted)
@@ -39,20 +39,20 @@
         parse_log_lines(lines if files else sys.stdin), window_s=window_s
     )
     if not counted.causes:
-        print("rosepath: these logs contain no finished request", file=sys.stderr)
+        print("rosepath: no request ended in these logs", file=sys.stderr)
         return EXIT_INVALID
     header = ["", "requests", *Cause]
     rows = {"all": counted.causes, **counted.by_route}
     print_table(header, cause_rows(rows))
-    print("\nmodels with the most requests not in time")
+    print("\nmodels with most requests not in time")
     print_table(header, cause_rows(dict(counted.worst_models())))
-    print(f"\npeak-to-mean ratio of requests by server: {counted.peak_to_mean:.2f}\n")
+    print(f"\nbusiest server by the mean of all: {counted.peak_to_mean:.2f}\n")
     windows = {
         f"{number * window_s:g} s": window
         for number, window in sorted(counted.windows.items())
     }
     print_table(
-        ["from", "requests", *Cause, "swaps", "failed attempts"],
+        ["from", "requests", *Cause, "swaps", "tries failed"],
         [
             [*row, str(window.swaps), str(window.failed_attempts)]
             for row, window in zip(
--- a/src/rosepath/load_report.py
+++ b/src/rosepath/load_report.py
@@ -23,9 +23,9 @@
     IN_TIME = "in time"
     WAITED_FOR_MODEL = "late: waited for its model or adapter"
     QUEUED = "late: queued at its server"
-    PAUSED = "late: its stream stalled"
-    SLOW = "late: slow response"
-    REFUSED = "refused without running"
+    PAUSED = "late: a pause in its stream"
+    SLOW = "late: answered slowly"
+    REFUSED = "refused unrun"
     QUARANTINED = "refused: crashes its servers"
     FAILED = "failed"
 
@@ -156,7 +156,7 @@
     requests.legend(fontsize=7, loc="upper left")
     orders.plot(at_s, [window.swaps for window in windows], label="swaps")
     orders.plot(
-        at_s, [window.failed_attempts for window in windows], label="failed attempts"
+        at_s, [window.failed_attempts for window in windows], label="tries failed"
     )
     orders.set_xlabel("s")
     orders.legend(fontsize=7)
--- a/tests/test_load_report.py
+++ b/tests/test_load_report.py
@@ -74,7 +74,7 @@
     log, plot = tmp_path / "vm-1.jsonl", tmp_path / "plot.svg"
     log.write_text("\n".join(lines()))
     assert report(log, plot=plot) == 0
-    assert "refused without running" in capsys.readouterr().out
+    assert "refused unrun" in capsys.readouterr().out
     assert plot.read_text().lstrip().startswith("<?xml")
     log.write_text("")
     assert report(log) != 0
