--- a/src/rosepath/order_sender.py
+++ b/src/rosepath/order_sender.py
@@ -28,9 +28,10 @@
 class OrderSender:
     """Send orders while this entry VM may, and track when the last one ended.
 
-    `outcomes` counts orders by kind and reply. `last_action_s` is when the last
-    order was answered or abandoned, on a clock that keeps running while the VM
-    is suspended. The next lease holder delays its own orders based on it.
+    `outcomes` counts orders by kind and reply. `last_action_s` is when the
+    last order was answered or abandoned, on a clock that keeps running while
+    the VM is suspended. The next lease holder delays its own orders based on
+    it.
     """
 
     def __init__(
