--- a/src/rosepath/attempt.py
+++ b/src/rosepath/attempt.py
@@ -32,7 +32,7 @@
     """An attempt ended without a valid response.
 
     `lost` means that the server's end of the connection closed while the
-    request ran, `answered` that the server had begun its response before.
+    request ran, `answered` that the server had started its response before.
     """
 
     def __init__(
--- a/src/rosepath/configuration.py
+++ b/src/rosepath/configuration.py
@@ -129,7 +129,7 @@
         return {row.key_sha256: name for name, row in callers.items()}
 
     def is_target(self, name: str) -> bool:
-        """Tell whether requests can name this as their model."""
+        """Return whether requests can name this as their model."""
         return name in self.artifacts or name in self.adapter_targets
 
     def with_operations(
@@ -237,7 +237,7 @@
         self._decoded: dict[str, dict[str, Declaration]] = {}
 
     def missing_shards(self, head: Head) -> tuple[str, ...]:
-        """Return the digests of a head's shards that this node lacks."""
+        """Return the digests of a head's shards that this VM lacks."""
         return tuple(d for d in set(head.shards.values()) if d not in self.shards)
 
     def apply(self, head: Head, shards: Mapping[str, bytes]) -> Result[bool, str]:
--- a/src/rosepath/configuration_follower.py
+++ b/src/rosepath/configuration_follower.py
@@ -16,7 +16,7 @@
 class ConfigurationFollower:
     """Watches the head in the store and pulls newer versions.
 
-    Only relays watch the store, and nodes that have no configuration yet. The
+    Only relays watch the store, and VMs that have no configuration yet. The
     others fetch newer versions from their peers.
     """
 
--- a/src/rosepath/declarations.py
+++ b/src/rosepath/declarations.py
@@ -95,7 +95,7 @@
 class BackendServer:
     """A model engine, or a server of the service named by `service`.
 
-    `fences` tells that the engine refuses orders with an old fencing token.
+    `fences` means that the engine refuses orders with an old fencing token.
     """
 
     __pydantic_config__ = _STRICT
@@ -188,5 +188,5 @@
 
 
 def matches(name: str, patterns: tuple[str, ...]) -> bool:
-    """Tell whether a name matches any of the shell-style patterns."""
+    """Return whether a name matches any of the shell-style patterns."""
     return any(fnmatch.fnmatchcase(name, pattern) for pattern in patterns)
--- a/src/rosepath/deferred_execution.py
+++ b/src/rosepath/deferred_execution.py
@@ -74,7 +74,7 @@
 
 
 def has_spare_slots(tables: Tables) -> bool:
-    """Tell whether an engine has spare slots for deferred requests."""
+    """Return whether an engine has spare slots for deferred requests."""
     return any(
         replica.load() < replica.slots * MAX_SLOT_UTILIZATION
         for replica in tables.replicas.values()
--- a/src/rosepath/deferred_runner.py
+++ b/src/rosepath/deferred_runner.py
@@ -54,8 +54,8 @@
 class RunnerPorts:
     """What the runner depends on.
 
-    The predicates tell whether a stored request is assigned to this node,
-    whether the node of another runner is alive, and whether engines have spare
+    The predicates return whether a stored request is assigned to this VM,
+    whether the VM of another runner is alive, and whether engines have spare
     slots.
     """
 
@@ -106,14 +106,14 @@
 
 @dataclass(slots=True)
 class DeferredRunner:
-    """Runs the stored requests that are assigned to this node and due."""
+    """Runs the stored requests that are assigned to this VM and due."""
 
     ports: RunnerPorts
     observed: dict[str, _ObservedRequest] = field(default_factory=dict)
     running: dict[str, asyncio.Task[None]] = field(default_factory=dict)
 
     async def scan(self) -> None:
-        """Process the stored requests that are assigned to this node."""
+        """Process the stored requests that are assigned to this VM."""
         try:
             names = await self.ports.platform.list_names(REQUEST_PREFIX)
         except StoreError:
@@ -168,7 +168,7 @@
             await self._finish(name, row, DeferredState.FAILED, "")
 
     async def _start(self, name: str, row: _ObservedRequest) -> None:
-        """Mark a request as running on this node, then run it."""
+        """Mark a request as running on this VM, then run it."""
         done = await self.ports.platform.get(RESULT_PREFIX + row.request.request_id)
         if done is not None:
             await self.ports.platform.delete(name, expected_version=row.version)
@@ -268,6 +268,6 @@
         self.observed.pop(name, None)
 
     async def drain(self) -> None:
-        """Wait for the requests that are running on this node."""
+        """Wait for the requests that are running on this VM."""
         if self.running:
             await asyncio.wait(list(self.running.values()))
--- a/src/rosepath/engine_keeper.py
+++ b/src/rosepath/engine_keeper.py
@@ -95,11 +95,11 @@
         self._ports = ports
 
     def fences(self, row: EngineRow) -> bool:
-        """Tell whether an engine checks fencing tokens."""
+        """Return whether an engine checks fencing tokens."""
         return self._ports.configuration().engines[row.name].fences
 
     def may_order_without_lease(self) -> bool:
-        """Tell whether orders are allowed while the lease cannot be renewed.
+        """Return whether orders are allowed while the lease cannot be renewed.
 
         No other VM can acquire the lease while the store is down for all, and
         an engine that checks fencing tokens rejects orders of a previous
@@ -173,7 +173,7 @@
             self.change_count += 1
 
     def _needs_report(self, row: EngineRow, now_s: float) -> bool:
-        """Tell whether an order is in progress or the report is too old."""
+        """Return whether an order is in progress or the report is too old."""
         if row.report is None or not row.fence_confirmed:
             return True
         ready = row.report.engine.resident
--- a/src/rosepath/engine_orders.py
+++ b/src/rosepath/engine_orders.py
@@ -15,7 +15,7 @@
 
 
 class OrderReply(StrEnum):
-    """Enumerate an engine's answers to an order."""
+    """Enumerate an engine's responses to an order."""
 
     ACCEPTED = "accepted"
     HOLDS = "holds"
--- a/src/rosepath/engine_plan.py
+++ b/src/rosepath/engine_plan.py
@@ -8,8 +8,8 @@
 holds: two busy models can overload one engine though each alone would not. The
 gain of a swap is the number of late requests it removes from overloaded
 engines, or the number of requests lost while no engine holds the model, minus
-the late requests it adds on its own engine, the cost of unloading the victims
-and the cost of the swap itself.
+the late requests it adds on its own engine, the cost of unloading the evicted
+models and the cost of the swap itself.
 """
 
 import math
@@ -47,7 +47,7 @@
 # The first replica of a busy model in a data centre keeps the model available
 # if that data centre is cut off from the others.
 NEW_DATA_CENTRE_GAIN = 1.0
-# The gain of a swap must clearly exceed the cost of unloading its victims, or
+# The gain of a swap must clearly exceed the cost of its evictions, or
 # noise in the demand would swap models back and forth.
 LOSS_FACTOR = 1.25
 MIN_GAIN = 0.3
--- a/src/rosepath/fleet.py
+++ b/src/rosepath/fleet.py
@@ -96,13 +96,13 @@
     connect_failed_s: float = -1e9
     latency_s: float = 0.0
     error_rate: float = 0.0
-    # The entry's models, updated from later answers and orders.
+    # The entry's models, updated from later responses and orders.
     held: dict[str, set[str]] = field(default_factory=dict)
     # Until when it is known to be busy with an order and to load no adapter.
     order_busy_until_s: float = -1e9
     # Until when it sheds requests of this VM, as given in its refusal.
     backoff_until_s: float = -1e9
-    # Set by a backoff until the server answers without load shedding.
+    # Set by a backoff until the server responds without load shedding.
     half_open: bool = False
     # When the last probe request was sent to the half-open server.
     probed_s: float = -1e9
@@ -192,7 +192,8 @@
         self._born_ms: OrderedDict[str, int] = OrderedDict()
         self._gone_at: OrderedDict[str, int] = OrderedDict()
         # Latest start of each server that is known to be leaving. After a
-        # store outage, its lapsed entry may reappear as it was written before.
+        # store outage, its expired entry may reappear as it was written
+        # before.
         self._leaving: OrderedDict[str, int] = OrderedDict()
 
     def note_leaving(self, leaving: LeavingServer) -> bool:
--- a/src/rosepath/gossip.py
+++ b/src/rosepath/gossip.py
@@ -1,8 +1,8 @@
 """
 Replicate small versioned rows between entry VMs, sending only missing rows.
 
-Rows are last-writer-wins by version. Each node exchanges frames with the
-members at distances 1, 2, 4, ... along a ring, so that a node keeps O(log n)
+Rows are last-writer-wins by version. Each VM exchanges frames with the
+members at distances 1, 2, 4, ... along a ring, so that a VM keeps O(log n)
 links and a change reaches the whole fleet in O(log n) hops.
 """
 
--- a/src/rosepath/lease_keeper.py
+++ b/src/rosepath/lease_keeper.py
@@ -32,9 +32,9 @@
 
 
 class LeaseKeeper:
-    """Own this node's view of its leases, and acquire, renew and release them.
+    """Own this VM's view of its leases, and acquire, renew and release them.
 
-    At most one node holds a lease at a time: each acts only while `valid`
+    At most one VM holds a lease at a time: each acts only while `valid`
     returns true, and all writes to the store are conditional on the version.
     """
 
@@ -57,10 +57,10 @@
         self.rows: dict[str, LeaseRow] = {}
 
     def valid(self, name: str, *, extended_until_s: float = -1e9) -> bool:
-        """Tell whether this node may act as the holder of a lease now.
+        """Return whether this VM may act as the holder of a lease now.
 
         A lease that could not be renewed stays valid until `extended_until_s`,
-        before which no other node takes it over.
+        before which no other VM takes it over.
         """
         row = self.rows.get(name)
         if row is None or row.holder != self._me:
@@ -76,7 +76,7 @@
 
         If a later read finds the same version, it counts as unchanged since
         the announcement, and the wait for its expiry does not start anew. The
-        message itself delays a takeover by this node, whatever version the
+        message itself delays a takeover by this VM, whatever version the
         store has.
         """
         now_s = self._clock.monotonic_s()
@@ -104,8 +104,8 @@
         expiry.
         """
         row = self.rows[name]
-        # The last read may have found another node's lease, which only that
-        # node may resign.
+        # The last read may have found another VM's lease, which only that
+        # VM may resign.
         version = row.version if row.holder == self._me else 0
         self._drop(row, why="resigned")
         return version
@@ -115,7 +115,7 @@
     ) -> bool:
         """Take a lease over from its stopping holder without the store.
 
-        The previous holder has stopped acting and has named only this node as
+        The previous holder has stopped acting and has named only this VM as
         its successor. Until a write to the store succeeds, the lease is valid
         only as far as peers' acknowledgements extend it.
         """
@@ -135,7 +135,7 @@
         return True
 
     def own_lease_expired(self, name: str) -> bool:
-        """Tell whether this node's own lease expired without a renewal."""
+        """Return whether this VM's own lease expired without a renewal."""
         row = self.rows.get(name)
         now_s = self._clock.monotonic_s()
         return row is not None and row.holder == self._me and row.held_until_s <= now_s
@@ -263,7 +263,7 @@
 
     async def _write(self, row: LeaseRow, *, term: int, grounds: str = "") -> None:
         # The duration counts from before the write: however late the reply, no
-        # other node can have seen this version for longer.
+        # other VM can have seen this version for longer.
         started_s = self._clock.monotonic_s()
         previous_holders = previous_holders_of(row, me=self._me)
         value = encode_lease(
@@ -292,7 +292,7 @@
                 return
             version = stored.version
         if row.holder != self._me or term != row.term:
-            # A node that finds itself named in the store starts a new term,
+            # A VM that finds itself named in the store starts a new term,
             # too.
             _log.info(
                 "lease_taken",
@@ -311,7 +311,7 @@
         row.held_until_s = started_s + self.policy.duration_s
 
     async def _resolve_conflict(self, row: LeaseRow) -> None:
-        """Drop a lease after a conflict, unless this node wrote it last.
+        """Drop a lease after a conflict, unless this VM wrote it last.
 
         The store may apply an unanswered renewal late. The next renewal then
         fails, as it does not expect the version of the late one.
--- a/src/rosepath/leases.py
+++ b/src/rosepath/leases.py
@@ -2,7 +2,7 @@
 
 Clocks of different machines are never compared. The holder measures the
 duration of its lease from before the write that acquired or renewed it. Other
-nodes take the lease over only once its version has stayed unchanged for longer
+VMs take the lease over only once its version has stayed unchanged for longer
 than that duration, measured on their own clocks.
 """
 
@@ -19,7 +19,7 @@
 MAX_PREVIOUS_HOLDERS = 8
 
 
-# Holder of a lease that cannot be decoded: an unknown node that may act until
+# Holder of a lease that cannot be decoded: an unknown VM that may act until
 # the lease would have expired.
 UNKNOWN_HOLDER = "?"
 
@@ -44,11 +44,11 @@
     # The same where the next holder already held an earlier term. Engines take
     # quickly alternating holders for two concurrent ones.
     turn_s: float = 0.0
-    # For how long after a state message from the holder other nodes do not
+    # For how long after a state message from the holder other VMs do not
     # take over its lease, so that it may act for that long without a renewal.
     extension_s: float = 0.0
     # Intervals between renewals, and between reads of a lease that another
-    # node holds; by default a half and a quarter of the duration.
+    # VM holds; by default a half and a quarter of the duration.
     renew_s: float | None = None
     look_s: float | None = None
 
@@ -63,9 +63,9 @@
 
 @dataclass(slots=True, kw_only=True)
 class LeaseRow:
-    """Hold what this node knows of one lease.
+    """Hold what this VM knows of one lease.
 
-    All times are on this node's clock. `checked_at_s` is the time of the last
+    All times are on this VM's clock. `checked_at_s` is the time of the last
     read or write. Acts before `earliest_act_s` could overlap with those of the
     previous holder.
     """
@@ -90,12 +90,12 @@
     def valid(
         self, *, now_s: float, policy: LeasePolicy, extended_until_s: float = -1e9
     ) -> bool:
-        """Tell whether this node may act as the holder now."""
+        """Return whether this VM may act as the holder now."""
         until_s = max(self.held_until_s, extended_until_s) - policy.margin_s
         return self.earliest_act_s <= now_s < until_s
 
     def remaining_s(self, *, now_s: float) -> float:
-        """Return the seconds until this node's lease expires."""
+        """Return the seconds until this VM's lease expires."""
         return max(0.0, self.held_until_s - now_s)
 
 
@@ -117,7 +117,7 @@
     policy: LeasePolicy,
     extended_until_s: float = -1e9,
 ) -> LeaseAction:
-    """Choose the next step for a lease that this node wants or holds."""
+    """Choose the next step for a lease that this VM wants or holds."""
     if row.holder == me and max(row.held_until_s, extended_until_s) > now_s:
         renew_at_s = row.held_until_s - policy.duration_s + policy.renewal_interval_s
         return LeaseAction.RENEW if now_s >= renew_at_s else LeaseAction.WAIT
@@ -148,7 +148,7 @@
     policy: LeasePolicy,
     resigned: Resignation | None = None,
 ) -> bool:
-    """Tell whether this node may take over a lease.
+    """Return whether this VM may take over a lease.
 
     Its version has been unchanged since `first_seen_s` on the local clock.
     """
@@ -174,8 +174,8 @@
     `last_announced_s` is when the last state message of a holder arrived.
     """
     if row.holder == me:
-        # Either an unanswered write of this node was applied, and the pause
-        # set then still holds, or this node has just restarted and need not
+        # Either an unanswered write of this VM was applied, and the pause
+        # set then still holds, or this VM has just restarted and need not
         # pause.
         return row.earliest_act_s
     pause_s = policy.turn_s if me in row.previous_holders else policy.handover_s
@@ -194,7 +194,7 @@
 
 
 def previous_holders_of(row: LeaseRow, *, me: str) -> tuple[str, ...]:
-    """Return the previous holders to record when a node acquires a lease."""
+    """Return the previous holders to record when a VM acquires a lease."""
     names = dict.fromkeys((row.holder, *row.previous_holders))
     return tuple(name for name in names if name not in ("", me))[:MAX_PREVIOUS_HOLDERS]
 
--- a/src/rosepath/limit_keeper.py
+++ b/src/rosepath/limit_keeper.py
@@ -1,4 +1,4 @@
-"""Apply the declared limits according to this node's share units."""
+"""Apply the declared limits according to this VM's share units."""
 
 import asyncio
 import random
@@ -66,7 +66,7 @@
                 async with asyncio.timeout(interval_s * random.uniform(0.5, 1.0)):
                     await self._members_changed.wait()
             self._members_changed.clear()
-            # Every node notices a join at about the same time; without a
+            # Every VM notices a join at about the same time; without a
             # delay spread over the fleet, all of them would read the ledger
             # at once, a burst on the store that grows with the fleet.
             count = len(self._tables.entry_vms)
--- a/src/rosepath/limits.py
+++ b/src/rosepath/limits.py
@@ -1,4 +1,4 @@
-"""Track the use of this node's share of the declared limits."""
+"""Track the use of this VM's share of the declared limits."""
 
 from collections.abc import Iterable, Mapping
 from dataclasses import dataclass, field
@@ -106,7 +106,7 @@
 
 
 def lend(row: LimitRow, *, borrower: str, request_id: str) -> bool:
-    """Lend a slot to another entry VM if one is free on this node."""
+    """Lend a slot to another entry VM if one is free on this VM."""
     if request_id in row.lent:
         return True
     if row.full or row.limit.concurrency is None:
--- a/src/rosepath/object_store.py
+++ b/src/rosepath/object_store.py
@@ -25,7 +25,7 @@
 
 
 class VmState(StrEnum):
-    """Tell whether the platform keeps a VM running."""
+    """Return whether the platform keeps a VM running."""
 
     LIVE = "live"
     LEAVING = "leaving"
--- a/src/rosepath/order_sender.py
+++ b/src/rosepath/order_sender.py
@@ -29,7 +29,7 @@
     """Send orders while this entry VM may, and track when the last one ended.
 
     `outcomes` counts orders by kind and reply. `last_action_s` is when the
-    last order was answered or abandoned, on a clock that keeps running while
+    last order was confirmed or abandoned, on a clock that keeps running while
     the VM is suspended. The next lease holder delays its own orders based on
     it.
     """
@@ -85,7 +85,7 @@
     ) -> OrderReply | None:
         """Send an order, with retries; None if its outcome stays unknown.
 
-        An order without an answer may still be executed. A retry has the same
+        An order without a response may still be executed. A retry has the same
         expected sequence, so the engine executes at most one of the two.
         `on_sent` is called each time the order is sent, after the last check
         that it may be.
@@ -152,7 +152,7 @@
     def _try_start_sending(self) -> bool:
         """Return whether an order may be sent now, and record the time if so.
 
-        The next holder's wait starts when the order is answered or abandoned.
+        The next holder's wait starts when the order is confirmed or abandoned.
         Until then the order counts as still in progress.
         """
         if not self.may_order():
@@ -189,9 +189,9 @@
 def _advances_sequence(order: Order, reply: OrderReply) -> bool:
     """Return whether an engine counts the order in its sequence.
 
-    An engine unloads an unused adapter immediately and answers HOLDS (the
+    An engine unloads an unused adapter immediately and returns HOLDS (the
     requested state already applies). It counts this order, but no other order
-    that it answers with HOLDS.
+    for which it returns HOLDS.
     """
     if reply is OrderReply.HOLDS:
         return bool(order.adapter) and order.action is OrderAction.UNLOAD
--- a/src/rosepath/peers.py
+++ b/src/rosepath/peers.py
@@ -63,7 +63,7 @@
     Own the gossip state and the time of the last frame from each peer.
 
     Run the exchanges with neighbours, declare peers dead that no longer send
-    frames, and publish this node's own member row.
+    frames, and publish this VM's own member row.
     """
 
     def __init__(self, ports: PeerPorts, *, address: str) -> None:
@@ -90,7 +90,7 @@
     # Rows
 
     def publish_local_member(self) -> None:
-        """Publish this node's own member row."""
+        """Publish this VM's own member row."""
         self.local_member.configuration_version = self._ports.configuration.head.version
         self._ports.tables.entry_vms[self.local_member.name] = self.local_member
         self._publish_member(self.local_member)
@@ -103,7 +103,7 @@
         self.publish(Row(key, version, encode_member(member)))
 
     def publish(self, row: Row) -> None:
-        """Merge a row that this node made, to be sent to the neighbours."""
+        """Merge a row that this VM made, to be sent to the neighbours."""
         if self.gossip.merge(row) and row.key.kind is not RowKind.LOAD:
             self._rows_changed.set()
 
@@ -138,7 +138,7 @@
             )
 
     def _refute(self, received: EntryVm) -> None:
-        """Override a received row about this node with a newer incarnation."""
+        """Override a received row about this VM with a newer incarnation."""
         self.local_member.incarnation = (
             max(self.local_member.incarnation, received.incarnation) + 1
         )
@@ -148,7 +148,7 @@
 
     def neighbours(self) -> list[str]:
         """
-        Return the members that this node calls, nearest on the ring first.
+        Return the members that this VM calls, nearest on the ring first.
 
         The ring is ordered by data centre, so that most links are local.
         """
@@ -338,7 +338,7 @@
             asyncio.ensure_future(self._ports.fetch(frame.sender))
 
     async def leave(self) -> None:
-        """Announce to the neighbours that this node is leaving."""
+        """Announce to the neighbours that this VM is leaving."""
         self.local_member.state = MemberState.LEAVING
         self.publish_local_member()
         await asyncio.gather(*(self._exchange_with(n) for n in self.neighbours()))
--- a/src/rosepath/placement_coordinator.py
+++ b/src/rosepath/placement_coordinator.py
@@ -145,7 +145,7 @@
 
     @property
     def holds_lease(self) -> bool:
-        """Tell whether this VM holds the placement lease and may order now."""
+        """Return whether this VM holds the placement lease and may order."""
         # Read for each datagram, so the acknowledgements are only looked
         # through while the lease could not be renewed.
         if self.leases.valid(LEASE_NAME):
@@ -164,7 +164,7 @@
 
     @property
     def _claims_lease(self) -> bool:
-        """Tell whether this VM announces that it holds the lease.
+        """Return whether this VM announces that it holds the lease.
 
         A successor announces it before it may act, as the others acknowledge
         only a VM that does.
@@ -294,7 +294,7 @@
             self._claims_lease or self._stopping()
         ):
             # A successor that not all others acknowledged in time. The lease
-            # is acquired through the store once that answers again.
+            # is acquired through the store once that responds again.
             self.leases.resign(LEASE_NAME)
         if self.holds_lease and not self._was_holder:
             self.term_begun.set()
@@ -324,10 +324,10 @@
         return self._extension.extended_until_s(self._peers.required_ackers())
 
     def _store_fails_only_here(self) -> bool:
-        """Tell whether the store fails for this VM but answers another.
+        """Return whether the store fails for this VM but responds to another.
 
-        If it answers no VM, none can acquire the lease, so the holder keeps it
-        until it expires.
+        If it responds to no VM, none can acquire the lease, so the holder
+        keeps it until it expires.
         """
         overdue_s = self.leases.overdue_s(LEASE_NAME)
         if overdue_s < RESIGN_AFTER_OVERDUE_S:
--- a/src/rosepath/placement_copies.py
+++ b/src/rosepath/placement_copies.py
@@ -7,7 +7,7 @@
 
 
 def pin_allows(view: PlacementView, base: str, engine: EngineView) -> bool:
-    """Tell whether the pins of a base allow it on an engine."""
+    """Return whether the pins of a base allow it on an engine."""
     pins = view.pins.get(base, ())
     return not pins or engine.name in pins
 
@@ -31,7 +31,7 @@
 def has_anchored_copy_elsewhere(
     view: PlacementView, base: str, engine_name: str, anchors: Mapping[str, str]
 ) -> bool:
-    """Tell whether the anchored copy is completely loaded on another engine.
+    """Return whether the anchored copy is completely loaded on another engine.
 
     The anchor is stored and changed only by conditional update, so two
     planners with different views cannot each unload the other's copy.
@@ -44,7 +44,7 @@
 
 
 def is_complete(view: PlacementView, base: str, engine: EngineView) -> bool:
-    """Tell whether a copy is loaded with all of its adapters."""
+    """Return whether a copy is loaded with all of its adapters."""
     required = {base, *view.adapters.get(base, {})}
     return required <= (engine.ready - engine.unloading_targets)
 
--- a/src/rosepath/placer.py
+++ b/src/rosepath/placer.py
@@ -55,7 +55,7 @@
             _log.info("placement_paused", step="store", error=str(error))
 
     def _plan_is_due(self) -> bool:
-        """Tell whether local state has changed or PLAN_INTERVAL_S has passed.
+        """Return whether local state changed or PLAN_INTERVAL_S has passed.
 
         Other changes (demand, other data centres) wait for the interval.
         """
--- a/src/rosepath/rendezvous.py
+++ b/src/rosepath/rendezvous.py
@@ -1,4 +1,4 @@
-"""Rendezvous hashing: all nodes choose alike without coordination."""
+"""Rendezvous hashing: all VMs choose alike without coordination."""
 
 from collections.abc import Iterable
 
--- a/src/rosepath/server_choice.py
+++ b/src/rosepath/server_choice.py
@@ -9,8 +9,8 @@
 # server with this many more requests per slot is slower than that.
 REMOTE_PENALTY = 0.1
 
-# A server that answers every other request with an error is chosen after any
-# server with a free slot.
+# A server that responds to every other request with an error is chosen after
+# any server with a free slot.
 ERROR_PENALTY = 2.0
 ERROR_RATE_SMOOTHING = 0.15
 
@@ -77,7 +77,7 @@
 
 
 def note_answer(server: BackendServer, *, now_s: float) -> None:
-    """Record an answer without load shedding; it ends the half-open state."""
+    """Record a response without load shedding; it ends the half-open state."""
     if not server.in_backoff(now_s):
         server.half_open = False
 
--- a/src/rosepath/server_picker.py
+++ b/src/rosepath/server_picker.py
@@ -32,7 +32,8 @@
 QUARANTINED_RETRY_AFTER_S = 60.0
 QUARANTINED_CODE = "crashes_servers"
 # An adapter loads in about 20 ms. A placement lease holder that does not
-# answer within this time may have failed, and its successor is asked.
+# reply within this time may have failed, and the request goes to its
+# successor.
 ADAPTER_WAIT_S = 0.4
 
 _log = get_logger()
--- a/src/rosepath/share_keeper.py
+++ b/src/rosepath/share_keeper.py
@@ -1,4 +1,4 @@
-"""Acquire and release this node's share units as the fleet changes."""
+"""Acquire and release this VM's share units as the fleet changes."""
 
 from collections.abc import Callable
 
@@ -20,7 +20,7 @@
 
 class ShareKeeper:
     """
-    Own the ledger as last read and the units in effect on this node.
+    Own the ledger as last read and the units in effect on this VM.
 
     The units in effect are reduced before a write that releases some, and
     increased only after a write that acquires some has succeeded.
--- a/src/rosepath/shares.py
+++ b/src/rosepath/shares.py
@@ -27,7 +27,7 @@
     holders: tuple[str, ...] = (UNASSIGNED,) * UNITS
 
     def units_of(self, name: str) -> frozenset[int]:
-        """Return the units held by a node."""
+        """Return the units held by a VM."""
         return frozenset(u for u, holder in enumerate(self.holders) if holder == name)
 
     def counts(self) -> Mapping[str, int]:
@@ -44,7 +44,7 @@
 
 
 def fair_units(live: int) -> int:
-    """Return the fair share of units among a number of live nodes."""
+    """Return the fair share of units among a number of live VMs."""
     return max(1, UNITS // max(1, live))
 
 
@@ -52,12 +52,12 @@
     ledger: ShareLedger, *, me: str, live: frozenset[str]
 ) -> frozenset[int]:
     """
-    Return the own units beyond the fair share while a node is underserved.
+    Return the own units beyond the fair share while a VM is underserved.
 
-    A node is underserved if it holds less than half the fair share. Smaller
+    A VM is underserved if it holds less than half the fair share. Smaller
     differences are tolerated, as otherwise a join in a large fleet would make
-    every node write. Units are picked evenly, so that the slots of small
-    limits, which belong to few units, are spread over the nodes as well.
+    every VM write. Units are picked evenly, so that the slots of small
+    limits, which belong to few units, are spread over the VMs as well.
     """
     counts = ledger.counts()
     own_units = sorted(ledger.units_of(me))
@@ -77,8 +77,8 @@
     """
     Return unassigned units and those of removed VMs, up to the fair share.
 
-    Once every live node has its fair share, remaining units are acquired one
-    at a time by whichever node writes first.
+    Once every live VM has its fair share, remaining units are acquired one
+    at a time by whichever VM writes first.
     """
     fair_share = fair_units(len(live))
     counts = ledger.counts()
--- a/src/rosepath/slot_lending.py
+++ b/src/rosepath/slot_lending.py
@@ -65,7 +65,7 @@
                 await asyncio.sleep(random.uniform(0.2, 0.5))
 
     def handle_borrow(self, request: BorrowRequest) -> bool:
-        """Lend a slot if one is free on this node; return whether it was."""
+        """Lend a slot if one is free on this VM; return whether it was."""
         row = self._rows().get(request.limit)
         return row is not None and lend(
             row, borrower=request.borrower, request_id=request.request_id
--- a/src/rosepath/store_watcher.py
+++ b/src/rosepath/store_watcher.py
@@ -29,11 +29,11 @@
 # slow, and a concurrent read is sent.
 SLOW_RESPONSE_S = 0.5
 # Interval between concurrent reads. The second one uses a new connection,
-# which tells a dead connection from a dead store; later ones detect its
+# which distinguishes a dead connection from a dead store; later ones detect its
 # recovery.
 HEDGE_INTERVAL_S = 1.0
 # Bounds the concurrent reads. The first one is kept open meanwhile, so a slow
-# store has the time of all of them to answer it.
+# store has the time of all of them to respond to it.
 MAX_CONCURRENT_READS = 4
 # Minimum interval between log lines about failed calls in one outage.
 FAILURE_LOG_INTERVAL_S = 2.0
@@ -272,7 +272,7 @@
 
         That time is None after a relaxed watch. Return None if the wait was
         cancelled: another VM has a newer revision, or the policy no longer
-        allows the wait. Long waits rely on the lease holder's status messages,
+        allows the wait. Long waits rely on the lease holder's state messages,
         which may have become too old.
         """
         watch = self._watch = self._begin_watch()
@@ -285,7 +285,7 @@
             # Close its connection before the next one is opened.
             await asyncio.wait([watch.call])
         if watch.call.cancelled() or self.age.last_read_s > watch.requested_s:
-            # The concurrent read was answered first.
+            # The concurrent read received its response first.
             return None
         change = watch.call.result()
         self._note_response_time(
@@ -358,7 +358,7 @@
         )
 
     async def _read_alongside(self, watch: _Watch) -> None:
-        """List all objects beside a watch; use whichever is answered first.
+        """List all objects beside a watch; use the first response.
 
         The connection of the watch may be dead, or the store slow. Cancelled
         in the second case, the watch would have to begin again.
--- a/src/rosepath/swap_executor.py
+++ b/src/rosepath/swap_executor.py
@@ -50,7 +50,7 @@
         self._lock = lock
         self._on_held = on_residency_change
         self.closing = False
-        # Engines on which an unload was started and the load is not answered
+        # Engines on which an unload was started and the load is not confirmed
         # yet.
         self._half_finished: set[str] = set()
 
--- a/tests/test_acting_as_one.py
+++ b/tests/test_acting_as_one.py
@@ -131,7 +131,7 @@
 
 
 def all_have_share_units(proxied: ProxiedDeployment) -> bool:
-    """Tell whether the share units are divided over all entry VMs."""
+    """Return whether the share units are divided over all entry VMs."""
     units = [status(proxied, name).get("share_units", 0) for name in proxied.daemons]
     return sum(units) == UNITS and min(units) >= UNITS // 8
 
--- a/tests/test_configuration.py
+++ b/tests/test_configuration.py
@@ -134,7 +134,7 @@
 
 
 def test_on_applied_is_called_for_version_pulled_by_conflicting_change() -> None:
-    # A lagging node pulls the newer version while it handles a change, which
+    # A lagging VM pulls the newer version while it handles a change, which
     # then fails with a conflict. Without the callback, its tables would keep
     # the old version until the next change.
     async def run() -> None:
@@ -166,7 +166,7 @@
 
 def test_older_store_does_not_revert_accepted_changes() -> None:
     # Version 2 is in force when the store is restored from a backup of version
-    # 1. The node keeps version 2, sets `store_is_older` and refuses changes.
+    # 1. The VM keeps version 2, sets `store_is_older` and refuses changes.
     async def run() -> None:
         platform = FakePlatform()
         store = store_of(platform)
--- a/tests/test_crash_records.py
+++ b/tests/test_crash_records.py
@@ -59,7 +59,7 @@
 
 
 # Guards against quarantine of requests that are in flight everywhere, such as
-# a common look-up, when several servers crash at once.
+# a common idempotent request, when several servers crash at once.
 def test_request_is_not_held_before_it_ran_isolated() -> None:
     records = records_of(*reports_at("good", "s1", "s2", "s3", "s4", "s5", "s6"))
     assert records.suspicion("good") is Suspicion.SUSPECT
--- a/tests/test_engine_overload.py
+++ b/tests/test_engine_overload.py
@@ -10,10 +10,10 @@
     stalled_stream_share,
 )
 
-# Short prompts, long answers: 14 ms of prefill, 1.5 s of decoding, and pauses
-# of 150 ms are late.
+# Short prompts, long responses: 14 ms of prefill, 1.5 s of decoding, and
+# pauses of 150 ms are late.
 DECODE_HEAVY = EngineLimits(slots=48, adapter_slots=8, first_s=0.3, gap_s=0.15)
-# Long prompts, short answers: 125 ms of prefill, 0.4 s of decoding.
+# Long prompts, short responses: 125 ms of prefill, 0.4 s of decoding.
 PREFILL_HEAVY = EngineLimits(slots=64, adapter_slots=8, first_s=0.6, gap_s=0.25)
 
 
--- a/tests/test_engine_plan.py
+++ b/tests/test_engine_plan.py
@@ -1,4 +1,4 @@
-"""Tests of planned model swaps: the model, the engine and the victims."""
+"""Tests of planned model swaps: the model, the engine and the evictions."""
 
 from dataclasses import replace
 
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -10,7 +10,7 @@
 def test_restarted_server_starts_with_fresh_state() -> None:
     # An engine crashes in a cut-off data centre and restarts empty under its
     # name. Keeping its former models, errors and running requests sent
-    # requests to models that it no longer held.
+    # requests to models that were no longer resident.
     fleet = Fleet()
     assert not fleet.put(replace(an_entry("e1"), born_ms=100))
     previous = fleet.servers["e1"]
--- a/tests/test_gossip.py
+++ b/tests/test_gossip.py
@@ -1,4 +1,4 @@
-"""Rows reach every node, the newest wins, and only missing rows are sent."""
+"""Rows reach every VM, the newest wins, and only missing rows are sent."""
 
 import random
 
--- a/tests/test_idle_connections.py
+++ b/tests/test_idle_connections.py
@@ -1,7 +1,7 @@
 """When a caller's kept connection is closed for having been idle.
 
 An idle connection may be closed at any time; one over which a request is coming
-may not, or its caller gets no answer to what was sent in time.
+may not, or its caller gets no response to what was sent in time.
 """
 
 import asyncio
@@ -50,7 +50,7 @@
 def test_a_request_that_had_arrived_is_read_though_the_idle_time_is_over() -> None:
     # The loop stood still for a moment, as while a large configuration is taken
     # in. A request came meanwhile, and the idle time ended after it: the
-    # connection was closed, and its caller got no answer.
+    # connection was closed, and its caller got no response.
     async def course(loop: SteppedLoop, node: Entry) -> None:
         reader, writer = await node.connect()
         await until_idle(node)
@@ -84,8 +84,8 @@
 
 
 def test_a_connection_on_which_nothing_comes_is_closed() -> None:
-    # Our timer stands in for the library's: without it, callers that went away
-    # silently would keep their connections for ever.
+    # The gateway's timer replaces the library's: without it, connections of
+    # callers that disappeared without closing them would stay open.
     async def course(loop: SteppedLoop, node: Entry) -> None:
         reader, _ = await node.connect()
         await until_idle(node)
--- a/tests/test_lease_extension.py
+++ b/tests/test_lease_extension.py
@@ -134,7 +134,7 @@
     *,
     sends_state: Callable[[Node], bool] = lambda _: True,
 ) -> None:
-    """Let the nodes step and send their state every 0.15 s."""
+    """Let the VMs step and send their state every 0.15 s."""
     end_s = clock.monotonic_s() + duration_s
     while clock.monotonic_s() < end_s:
         clock.advance(0.15)
@@ -146,7 +146,7 @@
 
 
 def test_a_store_outage_does_not_end_the_holders_lease() -> None:
-    # The store answers no VM for ten seconds, five times the duration of a
+    # The store responds to no VM for ten seconds, five times the duration of a
     # lease. No VM can acquire the lease meanwhile, so unless the holder keeps
     # it, no models are ordered until the store is back.
     async def run() -> None:
@@ -192,7 +192,7 @@
 
 
 def test_a_holder_stopping_in_an_outage_hands_over_directly() -> None:
-    # The holder stops while the store answers no VM. Without a direct
+    # The holder stops while the store responds to no VM. Without a direct
     # handover, no VM can acquire the lease and no models are ordered until the
     # store is back. The holder's own loop runs on until the write fails.
     async def run() -> None:
--- a/tests/test_lease_handover.py
+++ b/tests/test_lease_handover.py
@@ -113,7 +113,7 @@
 def test_an_undecodable_lease_is_taken_over_only_after_it_expires() -> None:
     # The stored bytes are no valid lease. If it counted as free, a second
     # holder would act beside the live one, whose next renewal has not failed
-    # yet, and a node that has just started would begin again at the first
+    # yet, and a VM that has just started would begin again at the first
     # fencing token.
     async def run() -> None:
         platform, clock = FakePlatform(), ManualClock()
--- a/tests/test_leases.py
+++ b/tests/test_leases.py
@@ -86,7 +86,7 @@
 
 
 class LateWritePlatform(FakePlatform):
-    """Fail one write without an answer and apply it later on request."""
+    """Fail one write without a response and apply it later on request."""
 
     def __init__(self) -> None:
         super().__init__()
@@ -137,7 +137,7 @@
 
 
 class SlowFailurePlatform(FakePlatform):
-    """Run a callback, then fail a write without an answer or an effect."""
+    """Run a callback, then fail a write without a response or an effect."""
 
     during_write: Callable[[], Awaitable[None]] | None = None
 
@@ -171,7 +171,7 @@
 
 
 def test_a_lease_taken_over_during_a_failed_renewal_is_not_taken_back() -> None:
-    # The renewal of the first holder fails without an answer, and its next
+    # The renewal of the first holder fails without a response, and its next
     # read finds the lease of the second holder. That version must count as
     # unchanged only since this read, not since an earlier read of another
     # version, or the first holder takes it for expired and both send orders to
@@ -190,7 +190,7 @@
 
 def test_a_former_holder_cannot_resign_the_lease_of_its_successor() -> None:
     # After a failed renewal, the first holder has read the version of the
-    # second. If it announced that version as resigned, a third node could
+    # second. If it announced that version as resigned, a third VM could
     # acquire the lease while the second still holds it.
     async def run() -> None:
         platform, clock = SlowFailurePlatform(), ManualClock()
--- a/tests/test_order_arrival.py
+++ b/tests/test_order_arrival.py
@@ -134,7 +134,7 @@
 def test_last_order_age_is_zero_while_in_flight() -> None:
     # A resigning holder must report an age of 0 while its last order is in
     # flight, instead of the time since sending. The age grows only after the
-    # answer.
+    # response.
     async def run() -> None:
         engine, clock = FakeEngine("m0"), ManualClock()
         sender = a_dispatcher(engine, clock).sender
@@ -158,7 +158,7 @@
 
 
 class AnswerLosingPlatform(FakePlatform):
-    """Execute a write, but lose its answer and that of the next read."""
+    """Execute a write, but lose its response and that of the next read."""
 
     lose_both = False
     lose_read = False
@@ -211,7 +211,7 @@
 
 
 def test_own_unanswered_write_does_not_skip_wait_for_previous_holder() -> None:
-    # The next holder's write and the following read get no answer. It then
+    # The next holder's write and the following read get no response. It then
     # finds itself named in the lease. If it takes that for a lease of its own
     # from earlier, it skips the wait for the previous holder's orders.
     wait_s = asyncio.run(
--- a/tests/test_order_dispatcher.py
+++ b/tests/test_order_dispatcher.py
@@ -29,7 +29,7 @@
 class FakeEngine:
     """Execute one order at a time and count it.
 
-    The next `unanswered_left` orders are neither executed nor answered, but
+    The next `unanswered_left` orders are neither executed nor confirmed, but
     kept in `unanswered_orders`.
     """
 
@@ -133,7 +133,7 @@
 
 
 def test_unanswered_order_is_retried_and_executed_once() -> None:
-    # An order's answer is lost, and the order is executed seconds later. The
+    # An order's response is lost, and the order is executed seconds later. The
     # retry has the same expected sequence, so the engine rejects one of the
     # two and never holds more than the record accounts for.
     async def run() -> None:
@@ -209,7 +209,7 @@
 
 
 def test_immediate_adapter_unload_advances_sequence() -> None:
-    # An engine answers the unload of an unused adapter as already done, and
+    # An engine reports the unload of an unused adapter as already done, and
     # counts it. If the holder does not count it, the next order has the wrong
     # expected sequence and is rejected, which costs one more round trip.
     async def run() -> None:
@@ -288,8 +288,8 @@
 
 
 def test_late_executed_order_is_accounted_for_before_next_order() -> None:
-    # A load is abandoned without an answer and executed just before another is
-    # sent. A retry of the second with the engine's new sequence would exceed
+    # A load is abandoned without a response and executed just before another
+    # is sent. A retry of the second with the engine's new sequence would exceed
     # the engine's memory and crash it.
     async def run() -> None:
         engine, clock = FakeEngine("m0"), ManualClock()
--- a/tests/test_order_finish.py
+++ b/tests/test_order_finish.py
@@ -17,7 +17,7 @@
 from rosepath.placement_coordinator import PlacementCoordinator
 from rosepath.prompt_caches import PromptCaches
 
-# How long an engine takes to answer an order.
+# How long an engine takes to respond to an order.
 ORDER_ANSWER_S = 0.1
 
 
@@ -159,7 +159,7 @@
 
 def test_lease_is_released_after_last_order_is_answered() -> None:
     # A load without an eviction is in flight. It is not retried, but no other
-    # VM may take the lease until it is answered.
+    # VM may take the lease until it is confirmed.
     engine = LeaseRecordingEngine("m0", busy_s=0.0)
 
     async def scenario(coordinator: PlacementCoordinator) -> None:
--- a/tests/test_order_swaps.py
+++ b/tests/test_order_swaps.py
@@ -33,7 +33,7 @@
 
 
 def test_model_is_announced_as_loaded_after_failed_unload() -> None:
-    # A model's unload is announced to all VMs, but neither answered nor
+    # A model's unload is announced to all VMs, but neither confirmed nor
     # executed. If the announcement is not retracted, callers get `no_server`
     # for a loaded model until the engine's entry is next written.
     async def run() -> None:
@@ -72,7 +72,7 @@
 
 
 def test_model_stays_unloaded_if_only_the_answer_was_lost() -> None:
-    # The order was executed; only its answers were lost. If the model were
+    # The order was executed; only its responses were lost. If the model were
     # announced as loaded again, it would attract requests that the engine
     # rejects.
     async def run() -> None:
@@ -117,7 +117,7 @@
 
 
 class SlowAdapterEngine(FakeEngine):
-    """Execute adapter orders, but answer only once the gate is open."""
+    """Execute adapter orders, but respond only once the gate is open."""
 
     def __init__(self, *models: str) -> None:
         super().__init__(*models)
--- a/tests/test_reads_left_to_arrive.py
+++ b/tests/test_reads_left_to_arrive.py
@@ -84,7 +84,7 @@
 def test_a_change_that_watches_skip_is_read_once_a_peer_announces_it() -> None:
     # The store's watches skip a change and continue after it. The watch in
     # progress ends by itself before it can be marked as suspect, and no later
-    # one ever is, so the VM would stay behind permanently.
+    # one ever is, so the VM would stay outdated permanently.
     taken_s: dict[int, float] = {}
     lists: list[str] = []
 
--- a/tests/test_shares.py
+++ b/tests/test_shares.py
@@ -1,4 +1,4 @@
-"""The sum of all nodes' shares never exceeds a limit, whatever fails."""
+"""The sum of all VMs' shares never exceeds a limit, whatever fails."""
 
 import asyncio
 
@@ -34,8 +34,8 @@
 def test_no_unit_is_in_effect_on_two_nodes(
     steps: list[tuple[str, set[str], str]],
 ) -> None:
-    # Nodes join, fail, disagree about which nodes are alive, and lose the
-    # store's replies or the store itself, in any order. Each node acts on its
+    # VMs join, fail, disagree about which VMs are alive, and lose the
+    # store's replies or the store itself, in any order. Each VM acts on its
     # own stale view of the ledger.
     async def run() -> None:
         platform = FakePlatform()
--- a/tests/test_store_watcher.py
+++ b/tests/test_store_watcher.py
@@ -21,7 +21,7 @@
 
 
 class ScriptedStore:
-    """Answer lists and watches from a script, then block."""
+    """Respond to lists and watches from a script, then block."""
 
     def __init__(self, listings: list[Listing], watches: list[object]) -> None:
         self.listings = listings
@@ -330,7 +330,7 @@
 MAX_PAUSE_S = 60.0
 BACKED_OFF_S = 0.6 * MAX_PAUSE_S
 # Longest interval between calls, besides their own duration, while a VM is
-# known to be behind: the store may recover at any time.
+# known to be outdated: the store may recover at any time.
 RETRY_INTERVAL_S = 1.0
 TAKES_S = 0.3
 
--- a/tests/test_supervisor.py
+++ b/tests/test_supervisor.py
@@ -7,7 +7,7 @@
 
 def test_a_failing_loop_is_restarted() -> None:
     # A loop such as gossip that ended at its first exception would leave the
-    # node serving callers with a view that is never updated again.
+    # VM serving callers with a view that is never updated again.
     async def run() -> None:
         runs = 0
         restarted = asyncio.Event()
