--- a/src/rosepath/crash_watch.py
+++ b/src/rosepath/crash_watch.py
@@ -60,7 +60,7 @@
         self.isolated = IsolatedRuns(on_started=on_change)
         self._clock = clock
         self._probe = probe
-        self._on_news = on_change
+        self._on_change = on_change
         self._lost_runs: dict[ServerInstance, list[LostRun]] = {}
         self._probes: dict[ServerInstance, asyncio.Task[None]] = {}
 
@@ -92,7 +92,7 @@
         await asyncio.shield(probe)
 
     async def _probe_server(self, address: str, instance: ServerInstance) -> None:
-        begun_s = self._clock.monotonic_s()
+        started_s = self._clock.monotonic_s()
         try:
             contact = await self._probe(address, limit_s=PROBE_TIMEOUT_S)
         finally:
@@ -100,7 +100,7 @@
         if contact is Contact.REFUSED:
             self.note_crashed(instance)
         elif contact is Contact.ACCEPTED:
-            self._drop_lost(instance, until_s=begun_s)
+            self._drop_lost(instance, until_s=started_s)
 
     def note_crashed(self, instance: ServerInstance) -> None:
         """Report the runs that a crashed server lost recently."""
@@ -137,11 +137,11 @@
     def clear(self, content_key: str) -> None:
         """Record that a run of a request completed."""
         if self.records.clear(content_key):
-            self._on_news()
+            self._on_change()
 
     def _report_crash(self, report: CrashReport, request_id: str) -> None:
         if self.records.add(report):
-            self._on_news()
+            self._on_change()
         _log.info(
             "crash_reported",
             request_id=request_id,
--- a/src/rosepath/engine_overload.py
+++ b/src/rosepath/engine_overload.py
@@ -120,8 +120,8 @@
     if workload.prefill_share <= 0 or shape < MIN_GAMMA_SHAPE:
         return 0.0
     risk = _gamma_tail(PREFILL_SHARE_OF_PAUSE / workload.prefill_share, shape)
-    life_s = workload.running / workload.requests_per_s
-    windows = max(1.0, life_s / limits.gap_s)
+    mean_duration_s = workload.running / workload.requests_per_s
+    windows = max(1.0, mean_duration_s / limits.gap_s)
     return 1.0 - (1.0 - risk) ** windows
 
 
--- a/src/rosepath/engine_plan.py
+++ b/src/rosepath/engine_plan.py
@@ -163,14 +163,14 @@
     if gain < MIN_GAIN:
         return None
     needed_mb = spec.size_mb - (engine.memory_mb - engine.used_mb)
-    victims: tuple[str, ...] = ()
+    evicted_models: tuple[str, ...] = ()
     loss = 0.0
     if needed_mb > 0:
-        found = _victims(engine, needed_mb, state)
+        found = _choose_evictions(engine, needed_mb, state)
         if found is None:
             return None
-        victims, loss = found
-        if any(engine.in_use.get(victim) for victim in victims):
+        evicted_models, loss = found
+        if any(engine.in_use.get(evicted_model) for evicted_model in evicted_models):
             gain += _discounted_gain(
                 replica_gain_per_s, load_s + IN_USE_WAIT_S
             ) - _discounted_gain(replica_gain_per_s, load_s)
@@ -178,9 +178,9 @@
         return None
     added = state.replica_workload(model, len(state.replicas[model]) + 1)
     removed = NO_WORKLOAD
-    for victim in victims:
+    for evicted_model in evicted_models:
         removed = removed.plus(
-            state.replica_workload(victim, len(state.replicas[victim]))
+            state.replica_workload(evicted_model, len(state.replicas[evicted_model]))
         )
     late_after = state.late_per_s_on(engine.name, removed=removed, added=added)
     gain -= HORIZON_S * (late_after - state.late_per_s_on(engine.name))
@@ -189,7 +189,7 @@
     return Swap(
         engine=engine.name,
         model=model,
-        victims=victims,
+        evicted_models=evicted_models,
         gain=gain - loss,
         from_store=from_store,
     )
@@ -209,7 +209,7 @@
     return 0.0 if engine.data_centre in holding_data_centres else NEW_DATA_CENTRE_GAIN
 
 
-def _victims(
+def _choose_evictions(
     engine: EngineView, needed_mb: float, state: PlanState
 ) -> tuple[tuple[str, ...], float] | None:
     """Return the cheapest models that free enough memory, and their cost."""
--- a/src/rosepath/engine_plan_state.py
+++ b/src/rosepath/engine_plan_state.py
@@ -59,7 +59,7 @@
 
     engine: str
     model: str
-    victims: tuple[str, ...] = ()
+    evicted_models: tuple[str, ...] = ()
     gain: float = 0.0
     from_store: bool = False
 
@@ -122,7 +122,7 @@
     def apply(self, swap: Swap) -> None:
         """Update the state as if a swap were complete."""
         affected = {swap.engine}
-        for model in swap.victims:
+        for model in swap.evicted_models:
             affected |= self.replicas[model]
             self.replicas[model].discard(swap.engine)
             self.held[swap.engine].discard(model)
--- a/src/rosepath/entry_node.py
+++ b/src/rosepath/entry_node.py
@@ -282,7 +282,7 @@
 
         The first plan of a term runs as soon as the lease is acquired.
         """
-        term_begun = self.coordinator.term_begun
+        term_started = self.coordinator.term_started
         while True:
             await self.coordinator.orders.tick()
             if self.coordinator.holds_lease:
@@ -290,8 +290,8 @@
                 continue
             with suppress(TimeoutError):
                 async with asyncio.timeout(STANDBY_PLAN_TICK_S):
-                    await term_begun.wait()
-            term_begun.clear()
+                    await term_started.wait()
+            term_started.clear()
 
     def reload(self, settings: EntrySettings) -> None:
         """Apply changed settings; addresses only change at the next start."""
@@ -333,11 +333,11 @@
 
     def _configuration_view(self) -> ConfigurationView:
         """Return the configuration version in force and how current it is."""
-        catalog, feed = self.tables.catalog, self.tables.catalog_watcher
+        catalog, watcher = self.tables.catalog, self.tables.catalog_watcher
         return ConfigurationView(
             version=catalog.version if catalog else 0,
-            age_s=feed.age.age_s,
-            behind=feed.behind,
+            age_s=watcher.age.age_s,
+            behind=watcher.behind,
         )
 
     def _budget(self, service: str) -> RetryWindow:
@@ -359,8 +359,8 @@
         return self.peers.large_fleet and not self.coordinator.term
 
     def _servers_watch_policy(self) -> WatchPolicy:
-        feed = self.tables.servers_watcher
-        conditions = self._watch_conditions(feed, self.settings.drain_s)
+        watcher = self.tables.servers_watcher
+        conditions = self._watch_conditions(watcher, self.settings.drain_s)
         policy = servers_watch_policy(conditions)
         if policy != self._last_servers_policy:
             self._last_servers_policy = policy
@@ -368,24 +368,26 @@
                 "servers_followed",
                 wait_s=policy.wait_s,
                 gather_s=policy.gather_s,
-                told_age_s=round(min(conditions.told_age_s, NEVER_S), 3),
+                told_age_s=round(min(conditions.reported_age_s, NEVER_S), 3),
                 looked_ago_s=self.tables.looked_ago_s,
             )
         return policy
 
     def _watch_conditions(
-        self, feed: StoreWatcher, staleness_limit_s: float
+        self, watcher: StoreWatcher, staleness_limit_s: float
     ) -> WatchConditions:
         """Return the conditions that determine how to watch a kind of objects.
 
         The holder of the placement lease relies only on its own reads of the
         store, as all other VMs rely on its state messages.
         """
-        told_age_s = math.inf if self.coordinator.term else feed.age.told_age_s
+        reported_age_s = (
+            math.inf if self.coordinator.term else watcher.age.reported_age_s
+        )
         return WatchConditions(
             staleness_limit_s=staleness_limit_s,
             large_fleet=self._is_large_fleet_follower,
-            told_age_s=told_age_s,
+            reported_age_s=reported_age_s,
             # Only the holder watches on behalf of other VMs.
             message_interval_s=self.peers.interval_s if self.coordinator.term else 0.0,
         )
--- a/src/rosepath/fleet.py
+++ b/src/rosepath/fleet.py
@@ -152,13 +152,13 @@
     @property
     def unread_tokens(self) -> int:
         """Return the prompt tokens that wait for prefill on this server."""
-        own = sum(flight.unread_tokens for flight in self.in_flight_requests.values())
+        own = sum(request.unread_tokens for request in self.in_flight_requests.values())
         return own + sum(load.unread_tokens for load in self.peers.values())
 
     @property
     def targets_in_use(self) -> Counter[str]:
         """Return the running requests by model and adapter."""
-        used = Counter(flight.target for flight in self.in_flight_requests.values())
+        used = Counter(request.target for request in self.in_flight_requests.values())
         for load in self.peers.values():
             used.update(load.targets)
         return used
@@ -284,8 +284,8 @@
     in_flight_requests = server.in_flight_requests.values()
     return PeerLoad(
         requests=len(in_flight_requests),
-        unread_tokens=sum(flight.unread_tokens for flight in in_flight_requests),
+        unread_tokens=sum(request.unread_tokens for request in in_flight_requests),
         targets=Counter(
-            flight.target for flight in in_flight_requests if flight.target
+            request.target for request in in_flight_requests if request.target
         ),
     )
--- a/src/rosepath/order_dispatcher.py
+++ b/src/rosepath/order_dispatcher.py
@@ -169,12 +169,12 @@
                 step="plan",
                 peer=swap.engine,
                 model=swap.model,
-                victims=swap.victims,
+                victims=swap.evicted_models,
                 gain=round(swap.gain, 3),
                 from_store=swap.from_store,
                 demand=_load_and_waiting(demands.get(swap.model)),
                 victims_demand=[
-                    _load_and_waiting(demands.get(name)) for name in swap.victims
+                    _load_and_waiting(demands.get(name)) for name in swap.evicted_models
                 ],
             )
             execution = self._executor.execute(swap, server, record, spec)
@@ -285,15 +285,15 @@
         ]
         if not idle:
             return False
-        victim = min(idle)[1]
-        victim_model, _, adapter = victim.partition("/")
+        evicted = min(idle)[1]
+        evicted_model, _, adapter = evicted.partition("/")
         reply = await self.sender.send(
-            server, record, OrderAction.UNLOAD, victim_model, adapter
+            server, record, OrderAction.UNLOAD, evicted_model, adapter
         )
         if reply not in (OrderReply.ACCEPTED, OrderReply.HOLDS):
             return False
-        del record.adapters[victim]
-        self._ports.on_residency_change(server.name, victim_model, adapter, False)
+        del record.adapters[evicted]
+        self._ports.on_residency_change(server.name, evicted_model, adapter, False)
         return True
 
     @property
--- a/src/rosepath/peer_configuration.py
+++ b/src/rosepath/peer_configuration.py
@@ -57,7 +57,7 @@
     def __init__(
         self,
         data_centre: str,
-        feed: StoreWatcher,
+        watcher: StoreWatcher,
         *,
         clock: Clock,
         peers: PeerTable,
@@ -65,7 +65,7 @@
         rng: random.Random | None = None,
     ) -> None:
         self._data_centre = data_centre
-        self._feed = feed
+        self._watcher = watcher
         self._clock = clock
         self._peers = peers
         self.fetch = fetch
@@ -76,12 +76,12 @@
     async def run(self) -> None:
         """Fetch the configuration whenever a newer revision is known."""
         while True:
-            await self._feed.behind_event.wait()
+            await self._watcher.behind_event.wait()
             outdated_since_s = self._clock.monotonic_s()
             self._tried_peers.clear()
             await self._pause(FETCH_DELAY_S)
             pause_s = RETRY_DELAY_S
-            while self._feed.behind:
+            while self._watcher.behind:
                 behind_s = self._clock.monotonic_s() - outdated_since_s
                 peer = self._choose_peer(behind_s)
                 if peer is None:
@@ -99,12 +99,12 @@
         self._tried_peers.add(peer.name)
         try:
             async with asyncio.timeout(FETCH_TIMEOUT_S):
-                stored = await self.fetch(peer.address, self._feed.changed_revision)
+                stored = await self.fetch(peer.address, self._watcher.changed_revision)
         except (ExchangeError, TimeoutError) as error:
             why = str(error) or "no complete response in time"
             _log.info("configuration_not_copied", step="peers", by=peer.name, why=why)
             return False
-        if stored is None or not self._feed.apply_copy(stored):
+        if stored is None or not self._watcher.apply_copy(stored):
             return False
         _log.info(
             "configuration_copied",
@@ -125,7 +125,7 @@
             peer
             for peer in self._peers.live()
             if peer.state is not None
-            and peer.state.configuration_revision > self._feed.changed_revision
+            and peer.state.configuration_revision > self._watcher.changed_revision
             and peer is not excluded
         ]
         if self._tried_peers.issuperset(peer.name for peer in candidates):
--- a/src/rosepath/placement_coordinator.py
+++ b/src/rosepath/placement_coordinator.py
@@ -105,7 +105,7 @@
         self._was_holder = False
         self._finishing_orders = False
         # Set when this VM becomes the holder; cleared by the planning loop.
-        self.term_begun = asyncio.Event()
+        self.term_started = asyncio.Event()
         self._lease_checked = False
         self._boot_clock = boot_clock or BootClock()
         self.demand = DemandTracker()
@@ -297,7 +297,7 @@
             # is acquired through the store once that responds again.
             self.leases.resign(LEASE_NAME)
         if self.holds_lease and not self._was_holder:
-            self.term_begun.set()
+            self.term_started.set()
         self._was_holder = self.holds_lease
 
     def _accept_handover(self, state: PeerState) -> None:
--- a/src/rosepath/relay.py
+++ b/src/rosepath/relay.py
@@ -22,11 +22,11 @@
 from rosepath.retries import Evidence
 from rosepath.retry_policy import RetryPolicy
 from rosepath.server_choice import (
-    note_answer,
     note_backoff,
     note_connect_failure,
     note_error,
     note_failure,
+    note_response,
     note_success,
 )
 from rosepath.server_notice import ServerNotice
@@ -35,7 +35,7 @@
 
 # Subtracted from each deadline: the caller's clock may run 3 ms ahead of this
 # VM's, and a response that arrives after the caller's deadline is discarded.
-ANSWER_MARGIN_S = 0.02
+RESPONSE_MARGIN_S = 0.02
 # How long a request without a route waits for a newer configuration that is
 # known to exist.
 ROUTE_WAIT_S = 0.4
@@ -119,7 +119,7 @@
             route=route,
             service=service,
             exchange=exchange,
-            deadline_s=call.arrived_s + limit_s - ANSWER_MARGIN_S,
+            deadline_s=call.arrived_s + limit_s - RESPONSE_MARGIN_S,
             configuration=self._ports.configuration(),
             event_sequence=EventSequence(last_id=call.last_event_id)
             if streams
@@ -158,14 +158,14 @@
 
     async def _run_attempts(self, context: RequestContext) -> None:
         while True:
-            server, flight = await self._picker.choose(context)
+            server, in_flight = await self._picker.choose(context)
             sent_s = self._now_s()
             try:
-                answer = await self._attempt(context, server, flight)
+                answer = await self._attempt(context, server, in_flight)
             except AttemptError as error:
                 context.attempt_evidence.append(error.evidence)
                 self._note_failed(context, server, error)
-                await self._suspects.note_failed(context, server, flight, error)
+                await self._suspects.note_failed(context, server, in_flight, error)
                 await self._retry_policy.wait_to_retry(context, error)
                 continue
             server.last_activity_s = self._now_s()
@@ -207,13 +207,13 @@
         return context.obstacle is None
 
     async def _attempt(
-        self, context: RequestContext, server: BackendServer, flight: InFlightRequest
+        self, context: RequestContext, server: BackendServer, in_flight: InFlightRequest
     ) -> ServerResponse:
         def on_events(head: ResponseHead, events: bytes) -> Awaitable[None] | None:
             server.last_activity_s = self._now_s()
             context.note_events(now_s=server.last_activity_s)
-            flight.unread_tokens = 0
-            self._suspects.note_events(context, flight)
+            in_flight.unread_tokens = 0
+            self._suspects.note_events(context, in_flight)
             if not context.exchange.response_started:
                 context.exchange.start_response(
                     head.status, answer_headers(head.headers)
@@ -247,10 +247,10 @@
             on_notice=lambda notice: self._apply_notice(server, notice),
         )
         self._retry_policy.consume_retry(context)
-        server.in_flight_requests[context.call.request_id] = flight
+        server.in_flight_requests[context.call.request_id] = in_flight
         if server.half_open:
             server.probed_s = self._now_s()
-        self._suspects.start(context, server, flight)
+        self._suspects.start(context, server, in_flight)
         try:
             return await self._ports.attempts.send(
                 context.call,
@@ -275,7 +275,7 @@
                 )
             note_backoff(server, retry_after_s=notice.retry_after_s, now_s=now_s)
         else:
-            note_answer(server, now_s=now_s)
+            note_response(server, now_s=now_s)
         if notice.leaving:
             self._ports.on_leaving(server)
 
@@ -317,7 +317,7 @@
     def _finish(
         self, context: RequestContext, server: BackendServer, answer: ServerResponse
     ) -> None:
-        context.answered_by = server.name
+        context.responded_by = server.name
         exchange = context.exchange
         if exchange.response_started:
             exchange.end()
--- a/src/rosepath/request_context.py
+++ b/src/rosepath/request_context.py
@@ -99,7 +99,7 @@
     waited_s: float = 0.0
     unread_tokens: int = 0
     predicted_s: float = 0.0
-    answered_by: str = ""
+    responded_by: str = ""
     # Whether a retry is reserved in the budget for the next attempt.
     retry_reserved: bool = False
     # Why it stayed with a silent server at the last check, if it did.
--- a/src/rosepath/request_records.py
+++ b/src/rosepath/request_records.py
@@ -36,7 +36,7 @@
             route=context.route.name,
             status=status,
             code=code,
-            peer=context.answered_by,
+            peer=context.responded_by,
             target=call.prompt.target if call.prompt else "",
             tries=len(context.attempt_evidence),
             waited_s=round(context.waited_s, 3),
--- a/src/rosepath/server_choice.py
+++ b/src/rosepath/server_choice.py
@@ -76,7 +76,7 @@
     server.half_open = True
 
 
-def note_answer(server: BackendServer, *, now_s: float) -> None:
+def note_response(server: BackendServer, *, now_s: float) -> None:
     """Record a response without load shedding; it ends the half-open state."""
     if not server.in_backoff(now_s):
         server.half_open = False
--- a/src/rosepath/server_picker.py
+++ b/src/rosepath/server_picker.py
@@ -219,11 +219,11 @@
         )
         context.unread_tokens = choice.unread_tokens
         context.predicted_s = choice.first_token_s
-        flight = InFlightRequest(
+        in_flight = InFlightRequest(
             unread_tokens=choice.unread_tokens,
             target=prompt.target,
         )
-        return choice.server, flight
+        return choice.server, in_flight
 
     async def _pick_engine(
         self,
--- a/src/rosepath/store_tables.py
+++ b/src/rosepath/store_tables.py
@@ -61,8 +61,8 @@
     ) -> None:
         self._drain_s = drain_s
         self._settle_s = settle_s
-        self._on_reborn = on_restarted
-        self._on_gone = on_removed
+        self._on_restarted = on_restarted
+        self._on_removed = on_removed
         self._clock = clock
         self._on_catalog = on_catalog
         # Entries that are missing but may only have expired.
@@ -78,7 +78,7 @@
             store,
             SERVER_KIND,
             clock=clock,
-            pace=servers_watch_policy,
+            policy=servers_watch_policy,
             on_listing=self._servers_listed,
             on_change=self._servers_changed,
             boot_clock=boot_clock,
@@ -87,7 +87,7 @@
             store,
             CONFIGURATION_KIND,
             clock=clock,
-            pace=catalog_watch_policy,
+            policy=catalog_watch_policy,
             urgent=True,
             on_listing=lambda listing: self._apply_catalog(listing.objects),
             on_change=lambda change: self._apply_catalog(change.written),
@@ -145,9 +145,9 @@
             left = known is not None and known.entry.draining
             if self.fleet.put(entry):
                 _log.info("server_reborn", step="store", peer=entry.name)
-                self._on_reborn(entry.name)
+                self._on_restarted(entry.name)
                 if known is not None:
-                    self._on_gone(known)
+                    self._on_removed(known)
             taken = self.fleet.servers.get(entry.name)
             if entry.draining and taken and taken.entry is entry and not left:
                 self._log_server("server_leaving", entry.name)
@@ -192,14 +192,14 @@
         be used for. After an outage of its own, a VM is bound by that only
         once it has settled.
         """
-        now_s, feed = self._clock.monotonic_s(), self.servers_watcher
-        if feed.store_unavailable:
+        now_s, watcher = self._clock.monotonic_s(), self.servers_watcher
+        if watcher.store_unavailable:
             grace_s = ENTRY_RETURN_S
         else:
-            recovered_s = max(feed.recovered_s, self._store_failure_s)
+            recovered_s = max(watcher.recovered_s, self._store_failure_s)
             grace_s = recovered_s + ENTRY_RETURN_S - now_s
         may_be_used_s = max(
-            self._drain_s - feed.age.age_s, self._settle_s - feed.since_failure_s
+            self._drain_s - watcher.age.age_s, self._settle_s - watcher.since_failure_s
         )
         return max(0.0, min(grace_s, may_be_used_s - REQUEST_TRANSIT_S))
 
@@ -212,7 +212,7 @@
         server = self.fleet.servers.get(name)
         self.fleet.remove(name, gone_at=gone_at)
         if server is not None:
-            self._on_gone(server)
+            self._on_removed(server)
         self.departures.record(LeavingServer(name, gone_at=gone_at))
 
     def apply_peer_departure(self, leaving: LeavingServer) -> bool:
@@ -282,9 +282,9 @@
         may still be used. While the store is unavailable, the table cannot be
         refreshed and stays in use.
         """
-        feed = self.servers_watcher
+        watcher = self.servers_watcher
         usable_s = max(self._drain_s - REQUEST_TRANSIT_S, self._drain_s / 2)
-        return feed.store_unavailable or feed.age.age_s < usable_s
+        return watcher.store_unavailable or watcher.age.age_s < usable_s
 
     async def ensure_fresh(self) -> None:
         """Refresh the server table if it is too old to route by."""
--- a/src/rosepath/store_watcher.py
+++ b/src/rosepath/store_watcher.py
@@ -29,8 +29,8 @@
 # slow, and a concurrent read is sent.
 SLOW_RESPONSE_S = 0.5
 # Interval between concurrent reads. The second one uses a new connection,
-# which distinguishes a dead connection from a dead store; later ones detect its
-# recovery.
+# which distinguishes a dead connection from a dead store; later ones detect
+# its recovery.
 HEDGE_INTERVAL_S = 1.0
 # Bounds the concurrent reads. The first one is kept open meanwhile, so a slow
 # store has the time of all of them to respond to it.
@@ -61,8 +61,8 @@
     A watch waits up to `wait_s`; changes are batched for `gather_s`.
     `backoff_max_s` bounds the pauses between attempts while the store fails.
     The store may deliver changes late to `relaxed` watches, so they do not
-    confirm how current a table is. Most VMs wait `copy_wait_s` for another
-    VM's copy of an object before they request it from the store.
+    confirm how current a table is. Most VMs wait `copy_wait_s` to
+    fetch an object from another VM before they request it from the store.
     """
 
     wait_s: float = 2.0
@@ -131,7 +131,7 @@
         clock: Clock,
         on_listing: Callable[[Listing], None],
         on_change: Callable[[Change], None],
-        pace: Callable[[], WatchPolicy] = WatchPolicy,
+        policy: Callable[[], WatchPolicy] = WatchPolicy,
         urgent: bool = False,
         boot_clock: Clock | None = None,
     ) -> None:
@@ -141,7 +141,7 @@
         self.age = TableAge(clock=clock, boot_clock=boot_clock or clock)
         self._on_listing = on_listing
         self._on_change = on_change
-        self._pace = pace
+        self._policy = policy
         # An urgent kind is read as soon as another VM is known to have a newer
         # revision, also during the pause after a failure.
         self._urgent = urgent
@@ -208,7 +208,7 @@
                 listed = False
                 self._note_failure(error)
                 await self._pause(backoff_s * random.uniform(0.7, 1.3))
-                backoff_s = min(backoff_s * 2, self._pace().backoff_max_s)
+                backoff_s = min(backoff_s * 2, self._policy().backoff_max_s)
 
     async def _pause(self, pause_s: float) -> None:
         """Pause after a failure, until a newer revision is known to exist."""
@@ -249,13 +249,13 @@
             requested_s = self._requested_s = self.age.now_s()
             response_start_s = math.inf
 
-            def note_begun() -> None:
+            def note_response_start() -> None:
                 nonlocal response_start_s
                 response_start_s = min(response_start_s, self.age.now_s())
                 on_response_start()
 
             listing = await self._store.list(
-                self._kind, fresh=this_fresh, on_response_start=note_begun
+                self._kind, fresh=this_fresh, on_response_start=note_response_start
             )
             return _Read(requested_s, response_start_s, listing)
 
@@ -299,13 +299,13 @@
         return change, watch.requested_s
 
     def _begin_watch(self) -> _Watch:
-        pace = self._pace()
-        wait_s = PROBE_WAIT_S if self.age.age_s > pace.wait_s else pace.wait_s
+        policy = self._policy()
+        wait_s = PROBE_WAIT_S if self.age.age_s > policy.wait_s else policy.wait_s
         self._requested_s = self.age.now_s()
         # A relaxed watch may receive changes late, so it does not serve a
         # refresh that requests wait for, nor a change that another VM already
         # has.
-        relaxed = pace.relaxed and not (
+        relaxed = policy.relaxed and not (
             self._refresh_waiters or (self._urgent and self.behind)
         )
 
@@ -331,7 +331,9 @@
         refresh = asyncio.ensure_future(self._refresh_requested.wait())
         try:
             while (
-                watch.is_probe or watch.arriving or watch.wait_s <= self._pace().wait_s
+                watch.is_probe
+                or watch.arriving
+                or watch.wait_s <= self._policy().wait_s
             ):
                 if not watch.arriving:
                     late = self.age.now_s() > watch.due_s + SLOW_RESPONSE_S
@@ -381,7 +383,7 @@
         started_s = self._clock.monotonic_s()
         self._refresh_requested.clear()
         while not self._refresh_requested.is_set():
-            left_s = started_s + self._pace().gather_s - self._clock.monotonic_s()
+            left_s = started_s + self._policy().gather_s - self._clock.monotonic_s()
             if left_s <= 0:
                 return
             with suppress(TimeoutError):
@@ -426,7 +428,7 @@
             loop.call_later(PEER_REVISION_GRACE_S, self._mark_suspect, revision, watch)
         elif self._urgent:
             first = random.random() < DIRECT_READ_SHARE
-            copy_wait_s = 0.0 if first else self._pace().copy_wait_s
+            copy_wait_s = 0.0 if first else self._policy().copy_wait_s
             loop.call_later(copy_wait_s, self._cancel_relaxed_watch, revision, watch)
 
     @property
--- a/src/rosepath/suspect_tracker.py
+++ b/src/rosepath/suspect_tracker.py
@@ -47,31 +47,31 @@
         return self._crashes.isolated.servers(now_s=self._clock.monotonic_s())
 
     def start(
-        self, context: RequestContext, server: BackendServer, flight: InFlightRequest
+        self, context: RequestContext, server: BackendServer, in_flight: InFlightRequest
     ) -> None:
         """Record that a request is sent to a server."""
-        flight.isolated = self.suspicion(context) is Suspicion.SUSPECT
-        if flight.isolated:
+        in_flight.isolated = self.suspicion(context) is Suspicion.SUSPECT
+        if in_flight.isolated:
             self._crashes.isolated.start(
                 context.content_key,
                 request_id=context.call.request_id,
                 server=server.name,
             )
 
-    def note_events(self, context: RequestContext, flight: InFlightRequest) -> None:
+    def note_events(self, context: RequestContext, in_flight: InFlightRequest) -> None:
         """Record that events arrived, and end the isolation of a long run.
 
         Isolation ends once more than `ISOLATION_S` have passed since the first
         event from this server.
         """
         now_s = self._clock.monotonic_s()
-        if flight.first_event_s is None:
-            flight.first_event_s = now_s
-        elif flight.isolated and now_s - flight.first_event_s > ISOLATION_S:
+        if in_flight.first_event_s is None:
+            in_flight.first_event_s = now_s
+        elif in_flight.isolated and now_s - in_flight.first_event_s > ISOLATION_S:
             ended = self._crashes.end_isolation(
                 context.content_key, request_id=context.call.request_id
             )
-            flight.isolated = not ended
+            in_flight.isolated = not ended
 
     def end(self, context: RequestContext) -> None:
         """Record that a request is no longer at a server."""
@@ -93,33 +93,33 @@
         self,
         context: RequestContext,
         server: BackendServer,
-        flight: InFlightRequest,
+        in_flight: InFlightRequest,
         error: AttemptError,
     ) -> None:
         """Check for a crash of the server if a run was lost or timed out."""
         if error.evidence is Evidence.NOT_SENT:
             return
         if error.lost:
-            run = self._make_lost_run(context, flight, error)
+            run = self._make_lost_run(context, in_flight, error)
             await self._crashes.note_lost(server, run)
         elif error.timed_out:
-            run = self._make_lost_run(context, flight, error)
+            run = self._make_lost_run(context, in_flight, error)
             self._crashes.note_timeout(server, run)
 
     def _make_lost_run(
-        self, context: RequestContext, flight: InFlightRequest, error: AttemptError
+        self, context: RequestContext, in_flight: InFlightRequest, error: AttemptError
     ) -> LostRun:
         now_s = self._clock.monotonic_s()
         ran_long = (
-            flight.first_event_s is not None
-            and now_s - flight.first_event_s > ISOLATION_S
+            in_flight.first_event_s is not None
+            and now_s - in_flight.first_event_s > ISOLATION_S
         )
         starting = error.answered and not ran_long
         exposure = Exposure.STARTING if starting else Exposure.PRESENT
         return LostRun(
             request_id=context.call.request_id,
             content_key=context.content_key,
-            exposure=Exposure.ISOLATED if flight.isolated else exposure,
+            exposure=Exposure.ISOLATED if in_flight.isolated else exposure,
             lost_s=now_s,
         )
 
--- a/src/rosepath/swap_executor.py
+++ b/src/rosepath/swap_executor.py
@@ -48,7 +48,7 @@
         self._sender = sender
         self._read_report = read_report
         self._lock = lock
-        self._on_held = on_residency_change
+        self._on_residency_change = on_residency_change
         self.closing = False
         # Engines on which an unload was started and the load is not confirmed
         # yet.
@@ -75,14 +75,14 @@
             async with self._lock(server.name):
                 # An adapter load in flight when the swap was planned is done
                 # by now, and none is ordered while a swap is in progress.
-                if used_mb(record, spec, without=swap.victims) > spec.memory_mb:
+                if used_mb(record, spec, without=swap.evicted_models) > spec.memory_mb:
                     return
                 if self.closing:
                     return
-                if swap.victims:
+                if swap.evicted_models:
                     self._half_finished.add(server.name)
-            for victim in swap.victims:
-                if not await self._unload(server, record, victim):
+            for evicted_model in swap.evicted_models:
+                if not await self._unload(server, record, evicted_model):
                     return
             size_mb = spec.models[swap.model].size_mb
             record.loading = ""
@@ -100,7 +100,7 @@
                 await self._read_report(server, record)
                 if swap.model in record.models and not record.engine_busy:
                     record.loaded_s[swap.model] = now_s()
-                    self._on_held(server.name, swap.model, "", True)
+                    self._on_residency_change(server.name, swap.model, "", True)
                     return
                 await asyncio.sleep(LOADED_POLL_INTERVAL_S)
         finally:
@@ -110,32 +110,32 @@
             record.is_current = False
 
     async def _unload(
-        self, server: BackendServer, record: EngineRecord, victim: str
+        self, server: BackendServer, record: EngineRecord, evicted_model: str
     ) -> bool:
         announced: list[str] = []
 
         def announce_once() -> None:
             # The engine rejects new requests for the model from the order on.
             if not announced:
-                announced.append(victim)
-                self._on_held(server.name, victim, "", False)
+                announced.append(evicted_model)
+                self._on_residency_change(server.name, evicted_model, "", False)
 
         async with self._lock(server.name):
             reply = await self._send_while_busy(
-                server, record, OrderAction.UNLOAD, victim, on_sent=announce_once
+                server, record, OrderAction.UNLOAD, evicted_model, on_sent=announce_once
             )
         if reply not in (OrderReply.ACCEPTED, OrderReply.HOLDS):
             if announced:
-                await self._retract_removal(server, record, victim)
+                await self._retract_removal(server, record, evicted_model)
             return False
-        record.models.discard(victim)
+        record.models.discard(evicted_model)
         for name in list(record.adapters):
-            if name.startswith(f"{victim}/"):
+            if name.startswith(f"{evicted_model}/"):
                 del record.adapters[name]
         return True
 
     async def _retract_removal(
-        self, server: BackendServer, record: EngineRecord, victim: str
+        self, server: BackendServer, record: EngineRecord, evicted_model: str
     ) -> None:
         """Announce a model as still loaded unless the report shows otherwise.
 
@@ -144,8 +144,8 @@
         gets no request that could.
         """
         await self._read_report(server, record)
-        if victim in record.models and not server.left:
-            self._on_held(server.name, victim, "", True)
+        if evicted_model in record.models and not server.left:
+            self._on_residency_change(server.name, evicted_model, "", True)
 
     async def _load(
         self, server: BackendServer, record: EngineRecord, model: str
--- a/src/rosepath/table_age.py
+++ b/src/rosepath/table_age.py
@@ -20,7 +20,7 @@
         self._boot_clock = boot_clock
         self._suspended_s = self._suspension_s()
         self.last_read_s = NEVER_S
-        self._told_s = NEVER_S
+        self._reported_s = NEVER_S
 
     def now_s(self) -> float:
         """Return the time on the clock that the age is measured by."""
@@ -29,7 +29,7 @@
     @property
     def known_s(self) -> float:
         """Return the time up to which all changes are known."""
-        return max(self.last_read_s, self._told_s)
+        return max(self.last_read_s, self._reported_s)
 
     @property
     def age_s(self) -> float:
@@ -37,9 +37,9 @@
         return self.now_s() - self.known_s
 
     @property
-    def told_age_s(self) -> float:
+    def reported_age_s(self) -> float:
         """Return the age by the lease holder's messages alone."""
-        return self.now_s() - self._told_s
+        return self.now_s() - self._reported_s
 
     def note_store_read(self, known_s: float) -> None:
         """Note a store read that returned every change up to `known_s`."""
@@ -56,9 +56,9 @@
             # Messages that queued during a suspension are older than they
             # appear.
             self._suspended_s = self._suspension_s()
-            self.last_read_s = self._told_s = NEVER_S
+            self.last_read_s = self._reported_s = NEVER_S
         if self.known_s > now_s - complete_ago_s:
-            self._told_s = max(self._told_s, now_s - known_ago_s)
+            self._reported_s = max(self._reported_s, now_s - known_ago_s)
 
     def _suspension_s(self) -> float:
         return self._boot_clock.monotonic_s() - self._clock.monotonic_s()
--- a/src/rosepath/watch_policy.py
+++ b/src/rosepath/watch_policy.py
@@ -55,7 +55,7 @@
 class WatchConditions:
     """Hold the conditions from which an entry VM chooses its watch policy.
 
-    `told_age_s` is the age of the table that the lease holder's messages
+    `reported_age_s` is the age of the table that the lease holder's messages
     cover, `staleness_limit_s` how soon a change must be acted on,
     `message_interval_s` the interval of this VM's own messages (0 if it does
     not hold the lease), `large_fleet` whether it is one of many VMs that do
@@ -64,13 +64,13 @@
 
     staleness_limit_s: float
     large_fleet: bool = False
-    told_age_s: float = math.inf
+    reported_age_s: float = math.inf
     message_interval_s: float = 0.0
 
     @property
     def covered(self) -> bool:
         """Return whether the lease holder's messages replace store reads."""
-        return self.told_age_s < self.staleness_limit_s - READ_TIME_S
+        return self.reported_age_s < self.staleness_limit_s - READ_TIME_S
 
     @property
     def wait_s(self) -> float:
--- a/tests/test_reads_left_to_arrive.py
+++ b/tests/test_concurrent_reads.py
@@ -22,21 +22,21 @@
 ARRIVES_S = 2.5
 
 
-def a_feed(taken_s: dict[int, float], pace: WatchPolicy) -> StoreWatcher:
-    """Build a feed that records when it listed each revision."""
+def a_watcher(taken_s: dict[int, float], policy: WatchPolicy) -> StoreWatcher:
+    """Build a watcher that records when it listed each revision."""
     return StoreWatcher(
         a_store(),
         "config",
         clock=LoopClock(),
         on_listing=lambda listing: taken_s.setdefault(listing.revision, now_s()),
         on_change=lambda _: None,
-        pace=lambda: pace,
+        policy=lambda: policy,
         urgent=True,
     )
 
 
 def read_beside_a_silent_watch(
-    pace: WatchPolicy, course: Callable[[StoreWatcher], None] = lambda _: None
+    policy: WatchPolicy, scenario: Callable[[StoreWatcher], None] = lambda _: None
 ) -> int:
     """Return how many listings are requested until one is received."""
     asked: list[str] = []
@@ -51,13 +51,13 @@
         return in_pieces(answer(a_listing(6)), 10, first_s=0.1, gap_s=ARRIVES_S / 10)
 
     async def run() -> None:
-        feed = a_feed(taken_s, pace)
-        following = asyncio.ensure_future(feed.run())
+        watcher = a_watcher(taken_s, policy)
+        following = asyncio.ensure_future(watcher.run())
         async with asyncio.timeout(60.0):
             while len(asked) < 2:  # noqa: ASYNC110
                 await asyncio.sleep(0.05)
             await asyncio.sleep(0.2)
-            course(feed)
+            scenario(watcher)
             while 6 not in taken_s:  # noqa: ASYNC110
                 await asyncio.sleep(0.05)
         following.cancel()
@@ -75,9 +75,12 @@
 def test_cancelling_a_relaxed_watch_does_not_cancel_the_concurrent_read() -> None:
     # That read is receiving the newer revision for which the watch is
     # cancelled.
-    pace = WatchPolicy(wait_s=10.0, relaxed=True, copy_wait_s=0.1)
+    policy = WatchPolicy(wait_s=10.0, relaxed=True, copy_wait_s=0.1)
     assert (
-        read_beside_a_silent_watch(pace, lambda feed: feed.note_peer_revision(6)) == 1
+        read_beside_a_silent_watch(
+            policy, lambda watcher: watcher.note_peer_revision(6)
+        )
+        == 1
     )
 
 
@@ -97,13 +100,13 @@
         return [(0.01, answer({**a_listing(6), "atRevision": 7}))]
 
     async def run() -> None:
-        feed = a_feed(taken_s, WatchPolicy(wait_s=0.6))
-        following = asyncio.ensure_future(feed.run())
+        watcher = a_watcher(taken_s, WatchPolicy(wait_s=0.6))
+        following = asyncio.ensure_future(watcher.run())
         await asyncio.sleep(3.0)
-        feed.note_peer_revision(6)
+        watcher.note_peer_revision(6)
         await asyncio.sleep(5.0)
         following.cancel()
-        assert not feed.behind
+        assert not watcher.behind
 
     play(script, run)
 
@@ -114,7 +117,7 @@
     taken_s: dict[int, float] = {}
 
     async def run() -> None:
-        following = asyncio.ensure_future(a_feed(taken_s, WatchPolicy()).run())
+        following = asyncio.ensure_future(a_watcher(taken_s, WatchPolicy()).run())
         await asyncio.sleep(8 * slow_s)
         following.cancel()
         assert 5 in taken_s
--- a/tests/test_engine_choice.py
+++ b/tests/test_engine_choice.py
@@ -52,8 +52,8 @@
     # again.
     fleet = a_fleet("e1", "e2")
     for number in range(2):
-        flight = InFlightRequest(target=f"m0/a{number}")
-        fleet.servers["e1"].in_flight_requests[f"q{number}"] = flight
+        in_flight = InFlightRequest(target=f"m0/a{number}")
+        fleet.servers["e1"].in_flight_requests[f"q{number}"] = in_flight
     fleet.servers["e2"].in_flight_requests["q9"] = InFlightRequest(
         unread_tokens=9_000, target="m0"
     )
@@ -110,9 +110,9 @@
             deadline_s=1005.0,
         )
         async with asyncio.timeout(10):
-            server, flight = await a_picker(ports).choose(context)
+            server, in_flight = await a_picker(ports).choose(context)
         assert server.name == with_room
-        assert flight.target == "m0/a7"
+        assert in_flight.target == "m0/a7"
         assert len(models.asked) == len(set(models.asked))
 
     asyncio.run(run())
--- a/tests/test_engine_plan.py
+++ b/tests/test_engine_plan.py
@@ -38,7 +38,7 @@
         an_engine_view("e1", "m0", "m1"),
         demands={"m0": ModelDemand(0.5, 0), "m2": ModelDemand(0.0, 3)},
     )
-    assert [(swap.model, swap.victims) for swap in swaps] == [("m2", ("m1",))]
+    assert [(swap.model, swap.evicted_models) for swap in swaps] == [("m2", ("m1",))]
 
 
 def test_model_in_use_is_not_unloaded_for_another_replica() -> None:
--- a/tests/test_entry_node.py
+++ b/tests/test_entry_node.py
@@ -21,14 +21,14 @@
         node = EntryNode(entry_settings("vm"))
         coordinator = node.coordinator
         loop = asyncio.get_running_loop()
-        begun_s = loop.time()
+        started_s = loop.time()
 
         async def tick() -> None:
-            at_s.append(round(loop.time() - begun_s, 3))
+            at_s.append(round(loop.time() - started_s, 3))
 
         def begin() -> None:
             held.append(True)
-            coordinator.term_begun.set()
+            coordinator.term_started.set()
 
         held: list[bool] = []
         coordinator.orders.tick = tick  # type: ignore[method-assign]
@@ -68,14 +68,14 @@
     node = EntryNode(entry_settings("vm"))
     for number in range(40):
         node.peers.note_address(f"vm-{number}", f"10.0.0.1:{number}")
-    feed, staleness_limit_s = node.tables.catalog_watcher, 3.0
+    watcher, staleness_limit_s = node.tables.catalog_watcher, 3.0
     other_s = catalog_watch_policy(
-        node._watch_conditions(feed, staleness_limit_s)
+        node._watch_conditions(watcher, staleness_limit_s)
     ).wait_s
     node.coordinator.leases.valid = lambda *_, **__: True  # type: ignore[method-assign]
     node.coordinator.leases.fence = lambda _: 1  # type: ignore[method-assign]
     holder_s = catalog_watch_policy(
-        node._watch_conditions(feed, staleness_limit_s)
+        node._watch_conditions(watcher, staleness_limit_s)
     ).wait_s
     assert holder_s < other_s == WAIT_SHARE * staleness_limit_s
 
--- a/tests/test_hedged_calls.py
+++ b/tests/test_hedged_calls.py
@@ -36,16 +36,16 @@
             return "answer"
 
         loop = asyncio.get_running_loop()
-        begun_s = loop.time()
+        started_s = loop.time()
         answer = await first_response(
             call,
             slow_after_s=SLOW_AFTER_S,
             hedge_interval_s=HEDGE_INTERVAL_S,
             max_concurrent=2,
-            on_slow=lambda: late.append(loop.time() - begun_s),
+            on_slow=lambda: late.append(loop.time() - started_s),
         )
         assert answer == "answer"
-        assert loop.time() - begun_s == pytest.approx(0.7)
+        assert loop.time() - started_s == pytest.approx(0.7)
         assert late == [pytest.approx(SLOW_AFTER_S)]
 
     play(run)
@@ -63,9 +63,9 @@
                 await asyncio.Event().wait()
             return calls[-1]
 
-        begun_s = asyncio.get_running_loop().time()
+        started_s = asyncio.get_running_loop().time()
         assert await ask(call) == 1
-        took_s = asyncio.get_running_loop().time() - begun_s
+        took_s = asyncio.get_running_loop().time() - started_s
         assert took_s == pytest.approx(SLOW_AFTER_S)
 
     play(run)
@@ -123,18 +123,18 @@
     # Only the next call detects that the store has recovered.
     async def run() -> None:
         loop = asyncio.get_running_loop()
-        begun_s = loop.time()
+        started_s = loop.time()
         made_s: list[float] = []
 
         async def call(_: OnResponseStart) -> str:
-            made_s.append(loop.time() - begun_s)
-            if loop.time() < begun_s + 10.0:
+            made_s.append(loop.time() - started_s)
+            if loop.time() < started_s + 10.0:
                 await asyncio.sleep(4.0)
                 raise TimeoutError
             return "back"
 
         assert await ask(call, max_concurrent=4) == "back"
-        assert loop.time() - begun_s <= 10.0 + HEDGE_INTERVAL_S + 0.01
+        assert loop.time() - started_s <= 10.0 + HEDGE_INTERVAL_S + 0.01
         assert len(made_s) <= 12
 
     play(run)
--- a/tests/test_idle_connections.py
+++ b/tests/test_idle_connections.py
@@ -25,7 +25,7 @@
         return super().time() + self.ahead_s
 
 
-def play(course: Callable[[SteppedLoop, Entry], Awaitable[None]]) -> None:
+def play(scenario: Callable[[SteppedLoop, Entry], Awaitable[None]]) -> None:
     async def answers(asked: Asked, writer: asyncio.StreamWriter) -> None:
         writer.write(answer(asked, 200, b"whole"))
 
@@ -35,7 +35,7 @@
         route = a_route(kind=RouteKind.IDEMPOTENT, service="desk", resumable=False)
         async with entry(Scripted("s1", answers), route=route) as node:
             node.gateway.apply_limits(CallerLimits(idle_timeout_s=IDLE_S))
-            await course(loop, node)
+            await scenario(loop, node)
 
     with asyncio.Runner(loop_factory=SteppedLoop) as runner:
         runner.run(run())
@@ -51,21 +51,21 @@
     # The loop stood still for a moment, as while a large configuration is taken
     # in. A request came meanwhile, and the idle time ended after it: the
     # connection was closed, and its caller got no response.
-    async def course(loop: SteppedLoop, node: Entry) -> None:
+    async def scenario(loop: SteppedLoop, node: Entry) -> None:
         reader, writer = await node.connect()
         await until_idle(node)
         writer.write(request(LOOK_UP))
         loop.ahead_s += IDLE_S + 0.1
         assert (await reader.readline()).startswith(b"HTTP/1.1 200")
 
-    play(course)
+    play(scenario)
 
 
 def test_a_request_whose_head_is_arriving_is_not_taken_for_idle() -> None:
     # A head may take some seconds to come, and its connection may have been idle
     # for most of the idle time before: closed at its end, half of a request was
     # thrown away.
-    async def course(loop: SteppedLoop, node: Entry) -> None:
+    async def scenario(loop: SteppedLoop, node: Entry) -> None:
         reader, writer = await node.connect()
         await until_idle(node)
         loop.ahead_s += IDLE_S - 1.0
@@ -80,25 +80,25 @@
         writer.write(sent[20:])
         assert (await reader.readline()).startswith(b"HTTP/1.1 200")
 
-    play(course)
+    play(scenario)
 
 
 def test_a_connection_on_which_nothing_comes_is_closed() -> None:
     # The gateway's timer replaces the library's: without it, connections of
     # callers that disappeared without closing them would stay open.
-    async def course(loop: SteppedLoop, node: Entry) -> None:
+    async def scenario(loop: SteppedLoop, node: Entry) -> None:
         reader, _ = await node.connect()
         await until_idle(node)
         loop.ahead_s += IDLE_S + 0.1
         assert await reader.read() == b""
 
-    play(course)
+    play(scenario)
 
 
 def test_a_connection_that_its_caller_closed_is_forgotten() -> None:
     # Each connection that was closed between two requests stayed listed as idle:
     # an entry VM's memory grew with every connection that it ever had.
-    async def course(_: SteppedLoop, node: Entry) -> None:
+    async def scenario(_: SteppedLoop, node: Entry) -> None:
         _, writer = await node.connect()
         await until_idle(node)
         writer.close()
@@ -106,4 +106,4 @@
             await asyncio.sleep(0)
         assert not node.gateway.idle
 
-    play(course)
+    play(scenario)
--- a/tests/test_lease_extension.py
+++ b/tests/test_lease_extension.py
@@ -239,9 +239,9 @@
             store.after_write = take_a_minute
         else:
             store.before_write = take_a_minute
-        begun_s = loop.time()
+        started_s = loop.time()
         await holder.coordinator.release()
-        assert loop.time() - begun_s < RELEASE_TIMEOUT_S + 0.1
+        assert loop.time() - started_s < RELEASE_TIMEOUT_S + 0.1
         assert holder.coordinator.handover.successor in {node.name for node in others}
         for _ in range(40):
             await run_nodes(nodes, clock, 0.15)
--- a/tests/test_model_arrivals.py
+++ b/tests/test_model_arrivals.py
@@ -28,8 +28,8 @@
 
 def test_request_is_refused_if_its_model_loads_too_late() -> None:
     # A load from the weight store takes 5.8 s and the caller disconnects after
-    # 2 s. Held for 1.7 s and then refused with a retry after 0.5 s, the caller was
-    # refused again and had used up its only retry.
+    # 2 s. Held for 1.7 s and then refused with a retry after 0.5 s, the caller
+    # was refused again and had used up its only retry.
     choice = choose(15.0)
     assert choice.decision is WaitDecision.REFUSE
     assert 5.0 <= choice.retry_after_s <= 5.0 + RETRY_JITTER_S
--- a/tests/test_order_arrival.py
+++ b/tests/test_order_arrival.py
@@ -141,12 +141,12 @@
         sender.clock = clock
         reported_ages_s: list[float] = []
 
-        def answer_late(_: Order) -> OrderReply:
+        def respond_late(_: Order) -> OrderReply:
             clock.advance(0.5)
             reported_ages_s.append(sender.last_action_age_s)
             return OrderReply.ACCEPTED
 
-        engine.execute = answer_late  # type: ignore[method-assign]
+        engine.execute = respond_late  # type: ignore[method-assign]
         server = BackendServer(entry=an_entry("e1"))
         record = EngineRecord(server="e1")
         await sender.send(server, record, OrderAction.LOAD, "m1")
--- a/tests/test_order_finish.py
+++ b/tests/test_order_finish.py
@@ -18,7 +18,7 @@
 from rosepath.prompt_caches import PromptCaches
 
 # How long an engine takes to respond to an order.
-ORDER_ANSWER_S = 0.1
+ORDER_RESPONSE_S = 0.1
 
 
 class LeaseRecordingEngine(FakeEngine):
@@ -45,7 +45,7 @@
         if reply is OrderReply.ACCEPTED and order.model not in self.models:
             self.busy = True
             loop.call_later(self.busy_s, setattr, self, "busy", False)
-        await asyncio.sleep(ORDER_ANSWER_S)
+        await asyncio.sleep(ORDER_RESPONSE_S)
         return reply
 
     async def report(self, address: str, server: str) -> EngineReport:
@@ -166,7 +166,7 @@
         await until(lambda: bool(engine.received))
         sent_s = engine.received[0][0]
         await coordinator.release()
-        assert asyncio.get_running_loop().time() >= sent_s + ORDER_ANSWER_S
+        assert asyncio.get_running_loop().time() >= sent_s + ORDER_RESPONSE_S
         assert engine.holder == ""
 
     run_scenario(engine, scenario)
--- a/tests/test_order_swaps.py
+++ b/tests/test_order_swaps.py
@@ -42,10 +42,13 @@
         engine.unanswered_left = 3
         await dispatcher.tick()
         await until(lambda: not dispatcher._swaps)
-        victim = engine.orders[0].model
+        evicted_model = engine.orders[0].model
         assert engine.orders[0].action is OrderAction.UNLOAD
-        assert victim in engine.models
-        assert changes == [("e1", victim, "", False), ("e1", victim, "", True)]
+        assert evicted_model in engine.models
+        assert changes == [
+            ("e1", evicted_model, "", False),
+            ("e1", evicted_model, "", True),
+        ]
 
     asyncio.run(run())
 
--- a/tests/test_peer_configuration.py
+++ b/tests/test_peer_configuration.py
@@ -52,7 +52,7 @@
         self.peers = PeerTable("me", clock=clock)
         for number in range(peers):
             self.peers.note_address(f"other-{number}", f"10.0.0.2:{number + 1}")
-        self.feed = StoreWatcher(
+        self.watcher = StoreWatcher(
             FailingStore(),
             "config",
             clock=clock,
@@ -66,7 +66,7 @@
         self.served = NEWER
         self.fetcher = PeerConfigurationFetcher(
             "a",
-            self.feed,
+            self.watcher,
             clock=clock,
             peers=self.peers,
             fetch=self._fetch,
@@ -91,10 +91,10 @@
         """Announce a newer revision; return the time until it is applied."""
         loop = asyncio.get_running_loop()
         started_s = loop.time()
-        self.feed.note_peer_revision(9)
+        self.watcher.note_peer_revision(9)
         running = asyncio.ensure_future(self.fetcher.run())
         async with asyncio.timeout(limit_s):
-            while self.feed.behind:  # noqa: ASYNC110
+            while self.watcher.behind:  # noqa: ASYNC110
                 await asyncio.sleep(0.01)
         running.cancel()
         return loop.time() - started_s
--- a/tests/test_peer_link.py
+++ b/tests/test_peer_link.py
@@ -72,8 +72,8 @@
         encode(ForwardedState(payload=encoded_state(), delay_s=0.4)), ("", 0)
     )
     assert sent.messages == []
-    assert exchange._tables.servers_watcher.age.told_age_s == pytest.approx(0.6)
-    assert exchange._tables.catalog_watcher.age.told_age_s == pytest.approx(0.7)
+    assert exchange._tables.servers_watcher.age.reported_age_s == pytest.approx(0.6)
+    assert exchange._tables.catalog_watcher.age.reported_age_s == pytest.approx(0.7)
 
 
 def test_a_vm_that_was_frozen_forwards_no_message(
--- a/tests/test_planned_stop.py
+++ b/tests/test_planned_stop.py
@@ -44,9 +44,9 @@
         if scenario is not None:
             scenario(node)
         loop = asyncio.get_running_loop()
-        begun_s = loop.time()
+        started_s = loop.time()
         await node.stop()
-        took_s.append(loop.time() - begun_s)
+        took_s.append(loop.time() - started_s)
 
     with asyncio.Runner(loop_factory=VirtualLoop) as runner:
         runner.run(run())
@@ -111,14 +111,14 @@
 
     def scenario(node: EntryNode) -> None:
         loop = asyncio.get_running_loop()
-        begun_s = loop.time()
+        started_s = loop.time()
 
         async def release() -> None:
             await asyncio.sleep(entry_node.BALANCER_DETECTION_S + 1.0)
 
         node.coordinator.release = release  # type: ignore[method-assign]
         node.gateway.close_idle = lambda: closed_s.append(  # type: ignore[method-assign]
-            loop.time() - begun_s
+            loop.time() - started_s
         )
 
     took_s = stop(monkeypatch, scenario)
--- a/tests/test_retry_policy.py
+++ b/tests/test_retry_policy.py
@@ -35,10 +35,10 @@
     # refusals within milliseconds must not cut it while its caller waits.
     async def play() -> None:
         loop = asyncio.get_running_loop()
-        begun_s = loop.time()
+        started_s = loop.time()
 
         def full_at_first(asked: Asked) -> Timetable:
-            return goes_on(asked) if loop.time() - begun_s > 3.0 else refuses(asked)
+            return goes_on(asked) if loop.time() - started_s > 3.0 else refuses(asked)
 
         dying, full = Engine("e1", breaks), Engine("e2", full_at_first)
         site = a_site(dying, repeats=60)
@@ -78,7 +78,7 @@
     # The caller's deadline limits the wait, and the pauses limit the attempts.
     async def play() -> None:
         loop = asyncio.get_running_loop()
-        begun_s = loop.time()
+        started_s = loop.time()
         dying, full = Engine("e1", breaks), Engine("e2", refuses)
         site = a_site(dying, repeats=1000)
         caller = asks(wait_ms=3_000)
@@ -88,7 +88,7 @@
         add(site, full)
         await serving
         assert caller.cut
-        assert 2.9 < loop.time() - begun_s < 3.2
+        assert 2.9 < loop.time() - started_s < 3.2
         assert len(full.asked) < 60
 
     run(play)
--- a/tests/test_server_notices.py
+++ b/tests/test_server_notices.py
@@ -40,8 +40,8 @@
 from rosepath.server_notice import NO_NOTICE, ServerNotice
 
 FEW = pytest.param((5, 2.0, 3.0), id="few")
-CROWD = pytest.param((26, 3.0, 4.0), id="crowd")
-sizes = pytest.mark.parametrize("size", [FEW, CROWD])
+LARGE_FLEET = pytest.param((26, 3.0, 4.0), id="crowd")
+sizes = pytest.mark.parametrize("size", [FEW, LARGE_FLEET])
 # Number of random scenarios; set SEEDS in the environment to run more.
 SEEDS = range(int(os.environ.get("SEEDS", "3")))
 # Requests already in flight may still arrive this long after a rejection.
--- a/tests/test_slow_store_reads.py
+++ b/tests/test_slow_store_reads.py
@@ -19,7 +19,7 @@
 
     def __init__(self) -> None:
         self.takes_s = 0.0
-        self.looks = 0
+        self.reads = 0
 
     async def list(self, kind: str, **_options: Any) -> Listing:
         await asyncio.sleep(self.takes_s)
@@ -37,7 +37,7 @@
         relaxed: bool = False,
         **_options: Any,
     ) -> Change:
-        self.looks += 1
+        self.reads += 1
         await asyncio.sleep(wait_s + self.takes_s)
         return Change(revision=3, written={}, removed=frozenset())
 
@@ -62,9 +62,9 @@
         loop = asyncio.get_running_loop()
         ends_s = loop.time() + 2 * DRAIN_S
         while loop.time() < ends_s:
-            begun_s = loop.time()
+            started_s = loop.time()
             await tables.ensure_fresh()
-            assert loop.time() - begun_s <= REFRESH_TIMEOUT_S + 0.01
+            assert loop.time() - started_s <= REFRESH_TIMEOUT_S + 0.01
             assert tables.fresh_enough
             await asyncio.sleep(0.1)
         following.cancel()
--- a/tests/test_slow_store_answers.py
+++ b/tests/test_slow_store_responses.py
@@ -62,12 +62,12 @@
         held_s: list[float] = []
 
         async def ask() -> None:
-            begun_s = now_s()
+            started_s = now_s()
             while True:
                 await tables.ensure_fresh()
                 if tables.fresh_enough:
                     break
-            held_s.append(now_s() - begun_s)
+            held_s.append(now_s() - started_s)
 
         asking = []
         for _ in range(1000):
--- a/tests/test_store_calls.py
+++ b/tests/test_store_calls.py
@@ -31,10 +31,10 @@
 async def time_to_fail() -> float:
     """Return how long a store read takes to fail."""
     store = a_store()
-    begun_s = now_s()
+    started_s = now_s()
     with pytest.raises(StoreError):
         await store.list(CONFIG)
-    return now_s() - begun_s
+    return now_s() - started_s
 
 
 def test_a_read_is_not_cancelled_while_its_response_arrives() -> None:
@@ -95,10 +95,10 @@
         return ()
 
     async def run() -> None:
-        feed = a_feed({})
-        following = asyncio.ensure_future(feed.run())
+        watcher = a_watcher({})
+        following = asyncio.ensure_future(watcher.run())
         await asyncio.sleep(CALL_TIMEOUT_S + SLACK_S)
-        assert feed.store_unavailable
+        assert watcher.store_unavailable
         assert len(asked) == 2
         following.cancel()
 
@@ -111,18 +111,18 @@
     async def run() -> None:
         store = a_store()
         for _ in range(30):
-            begun_s = now_s()
+            started_s = now_s()
             with pytest.raises(StoreError):
                 await store.list(CONFIG)
-            assert now_s() - begun_s <= 8 * CALL_TIMEOUT_S
+            assert now_s() - started_s <= 8 * CALL_TIMEOUT_S
 
     play(lambda _: (), run)
 
 
-def a_feed(
-    taken_s: dict[int, float], *, pace: Callable[[], WatchPolicy] = WatchPolicy
+def a_watcher(
+    taken_s: dict[int, float], *, policy: Callable[[], WatchPolicy] = WatchPolicy
 ) -> StoreWatcher:
-    """Build a feed that records when it received each revision."""
+    """Build a watcher that records when it received each revision."""
 
     def take(change: Any) -> None:
         taken_s[change.revision] = now_s()
@@ -133,7 +133,7 @@
         clock=LoopClock(),
         on_listing=take,
         on_change=take,
-        pace=pace,
+        policy=policy,
         urgent=True,
     )
 
@@ -148,11 +148,11 @@
     taken_s: dict[int, float] = {}
 
     async def run() -> None:
-        begun_s = now_s()
-        following = asyncio.ensure_future(a_feed(taken_s).run())
+        started_s = now_s()
+        following = asyncio.ensure_future(a_watcher(taken_s).run())
         await asyncio.sleep(4 * SLOW_S)
         following.cancel()
-        assert 5 in taken_s, f"{len(store.asked)} calls in {now_s() - begun_s} s"
+        assert 5 in taken_s, f"{len(store.asked)} calls in {now_s() - started_s} s"
 
     play(store, run)
 
@@ -163,7 +163,7 @@
     taken_s: dict[int, float] = {}
 
     async def run() -> None:
-        following = asyncio.ensure_future(a_feed(taken_s).run())
+        following = asyncio.ensure_future(a_watcher(taken_s).run())
         await asyncio.sleep(10.0)
         assert 5 in taken_s
         store.slow_s = SLOW_S
@@ -176,12 +176,12 @@
     play(store, run)
 
 
-def follow_a_slow_answer(
-    course: Callable[[StoreWatcher], None],
+def follow_a_slow_response(
+    scenario: Callable[[StoreWatcher], None],
     *,
-    pace: Callable[[], WatchPolicy] = WatchPolicy,
+    policy: Callable[[], WatchPolicy] = WatchPolicy,
 ) -> tuple[list[str], dict[int, float]]:
-    """Run `course` as a change arrives for 1.5 s; return the watches made.
+    """Run `scenario` as a change arrives for 1.5 s; return the watches made.
 
     The second value maps each revision to the time at which it was received.
     """
@@ -197,10 +197,10 @@
         return ()
 
     async def run() -> None:
-        feed = a_feed(taken_s, pace=pace)
-        following = asyncio.ensure_future(feed.run())
+        watcher = a_watcher(taken_s, policy=policy)
+        following = asyncio.ensure_future(watcher.run())
         await asyncio.sleep(0.2)
-        course(feed)
+        scenario(watcher)
         await asyncio.sleep(3.0)
         following.cancel()
 
@@ -212,7 +212,9 @@
     # Another VM on a faster link announces the revision while its body is in
     # transit to this one. Cancelled for that, the watch starts again at the
     # first byte.
-    asked, taken_s = follow_a_slow_answer(lambda feed: feed.note_peer_revision(6))
+    asked, taken_s = follow_a_slow_response(
+        lambda watcher: watcher.note_peer_revision(6)
+    )
     assert len(asked) == 1
     assert taken_s[6] <= taken_s[5] + 1.5 + SLACK_S
 
@@ -226,8 +228,8 @@
     def shorten(_: StoreWatcher) -> None:
         wait_s[0] = 0.8
 
-    asked, taken_s = follow_a_slow_answer(
-        shorten, pace=lambda: WatchPolicy(wait_s=wait_s[0])
+    asked, taken_s = follow_a_slow_response(
+        shorten, policy=lambda: WatchPolicy(wait_s=wait_s[0])
     )
     assert len(asked) == 1
     assert taken_s[6] <= taken_s[5] + 1.5 + SLACK_S
@@ -249,10 +251,10 @@
         return in_pieces(answer(whole), 10, first_s=0.07, gap_s=0.07)
 
     async def run() -> None:
-        feed = a_feed(taken_s, pace=lambda: WatchPolicy(wait_s=wait_s[0]))
-        following = asyncio.ensure_future(feed.run())
+        watcher = a_watcher(taken_s, policy=lambda: WatchPolicy(wait_s=wait_s[0]))
+        following = asyncio.ensure_future(watcher.run())
         await asyncio.sleep(0.1)
-        feed.note_peer_revision(6)
+        watcher.note_peer_revision(6)
         wait_s[0] = 0.2
         await asyncio.sleep(2.0)
         following.cancel()
--- a/tests/test_store_tables.py
+++ b/tests/test_store_tables.py
@@ -168,14 +168,14 @@
     # During a network partition, an engine crashes and restarts under its
     # name. What is known of its prompt cache belongs to the earlier process.
     async def run() -> None:
-        reborn: list[str] = []
+        restarted: list[str] = []
         store_tables = tables(ManualClock())
-        store_tables._on_reborn = reborn.append
+        store_tables._on_restarted = restarted.append
         for born in (100, 200, 200, 100):
             raw = json.dumps(a_server_document(born=born)).encode()
             stored = StoredObject("servers/i-1", 3, raw)
             store_tables._servers_listed(listing(stored))
-        assert reborn == ["i-1"]
+        assert restarted == ["i-1"]
         assert store_tables.fleet.servers["i-1"].entry.born_ms == 200
 
     asyncio.run(run())
--- a/tests/test_store_watcher.py
+++ b/tests/test_store_watcher.py
@@ -55,7 +55,7 @@
     return Listing(revision=revision, objects=objects)
 
 
-def a_feed(store: ScriptedStore, clock: ManualClock, **options: Any) -> StoreWatcher:
+def a_watcher(store: ScriptedStore, clock: ManualClock, **options: Any) -> StoreWatcher:
     return StoreWatcher(
         store,
         "servers",
@@ -67,18 +67,18 @@
 
 
 def follow(store: ScriptedStore, done: Callable[[list[str]], bool]) -> list[str]:
-    """Run a feed until `done`; return the listings and removals it applied."""
+    """Run a watcher until `done`; return the listings and removals applied."""
     seen: list[str] = []
 
     async def run() -> None:
-        feed = StoreWatcher(
+        watcher = StoreWatcher(
             store,
             "servers",
             clock=ManualClock(),
             on_listing=lambda whole: seen.append("listed " + ",".join(whole.objects)),
             on_change=lambda change: seen.append("gone " + ",".join(change.removed)),
         )
-        following = asyncio.ensure_future(feed.run())
+        following = asyncio.ensure_future(watcher.run())
         async with asyncio.timeout(10):
             while not done(seen) or store.watches:  # noqa: ASYNC110
                 await asyncio.sleep(0)
@@ -157,21 +157,21 @@
             return whole
 
         store.list = list_late  # type: ignore[method-assign]
-        feed = StoreWatcher(
+        watcher = StoreWatcher(
             store,
             "config",
             clock=ManualClock(),
             on_listing=lambda _: None,
             on_change=lambda _: None,
-            pace=lambda: WatchPolicy(backoff_max_s=3600.0),
+            policy=lambda: WatchPolicy(backoff_max_s=3600.0),
             urgent=True,
         )
-        following = asyncio.ensure_future(feed.run())
+        following = asyncio.ensure_future(watcher.run())
         revision = 0
         async with asyncio.timeout(10):
             while not listed.is_set():
                 revision += 1
-                feed.note_peer_revision(revision)
+                watcher.note_peer_revision(revision)
                 await asyncio.sleep(0)
         following.cancel()
 
@@ -196,15 +196,15 @@
             return Change(revision=5, written={}, removed=frozenset())
 
         store.changes = changes  # type: ignore[method-assign]
-        feed = a_feed(store, clock, pace=lambda: WatchPolicy(wait_s=10.0))
-        following = asyncio.ensure_future(feed.run())
+        watcher = a_watcher(store, clock, policy=lambda: WatchPolicy(wait_s=10.0))
+        following = asyncio.ensure_future(watcher.run())
         while not waits_s:  # noqa: ASYNC110
             await asyncio.sleep(0)
         clock.advance(20.0)
-        assert feed.age.age_s == 20.0
+        assert watcher.age.age_s == 20.0
         async with asyncio.timeout(10):
-            await feed.ensure_fresh(limit_s=10.0)
-        assert feed.age.age_s < 1.0
+            await watcher.ensure_fresh(limit_s=10.0)
+        assert watcher.age.age_s < 1.0
         assert waits_s[:2] == [10.0, PROBE_WAIT_S]
         following.cancel()
 
@@ -229,16 +229,16 @@
             return Change(revision=6, written={}, removed=frozenset())
 
         store.changes = changes  # type: ignore[method-assign]
-        pace = WatchPolicy(wait_s=10.0, relaxed=True)
-        feed = a_feed(store, clock, pace=lambda: pace, urgent=True)
-        following = asyncio.ensure_future(feed.run())
+        policy = WatchPolicy(wait_s=10.0, relaxed=True)
+        watcher = a_watcher(store, clock, policy=lambda: policy, urgent=True)
+        following = asyncio.ensure_future(watcher.run())
         while not relaxed_watches:  # noqa: ASYNC110
             await asyncio.sleep(0)
         clock.advance(5.0)
         while len(relaxed_watches) < 2:  # noqa: ASYNC110
             await asyncio.sleep(0)
-        assert feed.age.age_s == 5.0
-        feed.note_peer_revision(7)
+        assert watcher.age.age_s == 5.0
+        watcher.note_peer_revision(7)
         while len(relaxed_watches) < 3:  # noqa: ASYNC110
             await asyncio.sleep(0)
         assert relaxed_watches == [True, True, False]
@@ -262,16 +262,16 @@
             return Change(revision=5, written={}, removed=frozenset())
 
         store.changes = changes  # type: ignore[method-assign]
-        pace = WatchPolicy(wait_s=10.0, relaxed=True)
-        feed = a_feed(store, clock, pace=lambda: pace)
-        following = asyncio.ensure_future(feed.run())
+        policy = WatchPolicy(wait_s=10.0, relaxed=True)
+        watcher = a_watcher(store, clock, policy=lambda: policy)
+        following = asyncio.ensure_future(watcher.run())
         while not relaxed_watches:  # noqa: ASYNC110
             await asyncio.sleep(0)
         clock.advance(5.0)
         async with asyncio.timeout(10):
-            await feed.ensure_fresh(limit_s=10.0)
+            await watcher.ensure_fresh(limit_s=10.0)
         assert relaxed_watches[:2] == [True, False]
-        assert feed.age.age_s == 0.0
+        assert watcher.age.age_s == 0.0
         following.cancel()
 
     asyncio.run(run())
@@ -283,14 +283,14 @@
     async def run() -> None:
         clock = ManualClock()
         store = ScriptedStore([], [])
-        feed = a_feed(store, clock)
-        feed.age.note_store_read(clock.now_s)
+        watcher = a_watcher(store, clock)
+        watcher.age.note_store_read(clock.now_s)
         clock.advance(1.0)
-        feed._requested_s = clock.now_s
-        feed._note_failure(StoreError("no answer in time", step=Step.STORE))
-        assert feed.since_failure_s > 1e6
-        feed._note_failure(StoreError("no answer in time", step=Step.STORE))
-        assert feed.since_failure_s == 0.0
+        watcher._requested_s = clock.now_s
+        watcher._note_failure(StoreError("no answer in time", step=Step.STORE))
+        assert watcher.since_failure_s > 1e6
+        watcher._note_failure(StoreError("no answer in time", step=Step.STORE))
+        assert watcher.since_failure_s == 0.0
 
     asyncio.run(run())
 
@@ -336,27 +336,27 @@
 
 
 def run_after_backoff(
-    course: Callable[[StoreWatcher], Awaitable[None]],
+    scenario: Callable[[StoreWatcher], Awaitable[None]],
 ) -> FailingStore:
-    """Let the pauses of a feed grow, run `course`, return the store."""
+    """Let the pauses of a watcher grow, run `scenario`, return the store."""
     store = FailingStore(takes_s=TAKES_S)
 
     async def run() -> None:
-        feed = StoreWatcher(
+        watcher = StoreWatcher(
             store,
             "config",
             clock=LoopClock(),
             on_listing=lambda _: None,
             on_change=lambda _: None,
-            pace=lambda: WatchPolicy(backoff_max_s=MAX_PAUSE_S),
+            policy=lambda: WatchPolicy(backoff_max_s=MAX_PAUSE_S),
             urgent=True,
         )
-        following = asyncio.ensure_future(feed.run())
+        following = asyncio.ensure_future(watcher.run())
         while not store.backed_off():  # noqa: ASYNC110
             await asyncio.sleep(0.01)
         # Keep the call that has just begun.
         del store.asked_s[:-1]
-        await course(feed)
+        await scenario(watcher)
         following.cancel()
 
     play(run)
@@ -367,26 +367,26 @@
     # Another VM announces a revision during a call of this VM. It must not be
     # dropped when the call fails: later messages repeat it, but not as a new
     # revision.
-    async def course(feed: StoreWatcher) -> None:
+    async def scenario(watcher: StoreWatcher) -> None:
         await asyncio.sleep(TAKES_S / 3)
-        feed.note_peer_revision(9)
+        watcher.note_peer_revision(9)
         await asyncio.sleep(MAX_PAUSE_S)
 
-    assert run_after_backoff(course).gaps_s()[0] <= TAKES_S + RETRY_INTERVAL_S
+    assert run_after_backoff(scenario).gaps_s()[0] <= TAKES_S + RETRY_INTERVAL_S
 
 
 def test_pauses_stay_short_while_a_peer_has_a_newer_revision() -> None:
     # A failed read does not show what other VMs have. Until the table has the
     # revision, the pauses must not grow to their maximum again.
-    async def course(feed: StoreWatcher) -> None:
+    async def scenario(watcher: StoreWatcher) -> None:
         await asyncio.sleep(2 * TAKES_S)
-        feed.note_peer_revision(9)
+        watcher.note_peer_revision(9)
         for _ in range(100):
             # Other VMs repeat the revision in each message.
             await asyncio.sleep(0.2)
-            feed.note_peer_revision(9)
+            watcher.note_peer_revision(9)
 
-    store = run_after_backoff(course)
+    store = run_after_backoff(scenario)
     assert len(store.asked_s) >= 20 / (TAKES_S + RETRY_INTERVAL_S)
     assert max(store.gaps_s()) <= TAKES_S + RETRY_INTERVAL_S
 
@@ -394,9 +394,9 @@
 def test_pauses_stay_long_without_a_newer_revision() -> None:
     # A failing store is not called at short intervals without a reason, and a
     # message without a newer revision is none.
-    async def course(feed: StoreWatcher) -> None:
+    async def scenario(watcher: StoreWatcher) -> None:
         for _ in range(5 * 60):
             await asyncio.sleep(0.2)
-            feed.note_peer_revision(0)
+            watcher.note_peer_revision(0)
 
-    assert len(run_after_backoff(course).asked_s) <= 3
+    assert len(run_after_backoff(scenario).asked_s) <= 3
--- a/tests/test_unrecorded_departures.py
+++ b/tests/test_unrecorded_departures.py
@@ -19,7 +19,7 @@
     # A restarted lease holder must not report its departures as complete for
     # the time before its start: its first listing already lacks the server, so
     # it never reports that departure to the other VMs.
-    async def course(world: World) -> None:
+    async def scenario(world: World) -> None:
         holder = world.holder
         for number in range(3):
             world.kill(holder)
@@ -31,7 +31,7 @@
             world.start_again(holder, monkeypatch)
             await asyncio.sleep(14.0)
 
-    assert late_requests(monkeypatch, size, course, busy=busy) == []
+    assert late_requests(monkeypatch, size, scenario, busy=busy) == []
 
 
 @entries
@@ -41,14 +41,14 @@
 ) -> None:
     # A single closed watch must not count as an outage: a server missing from
     # the listing right after it was kept as if its entry had expired.
-    async def course(world: World) -> None:
+    async def scenario(world: World) -> None:
         # Vary the time since the last store read.
         for number in range(10):
             world.cut_watches()
             world.leave(f"i-{number}")
             await asyncio.sleep(5.0 + 0.07 * number)
 
-    assert late_requests(monkeypatch, size, course, servers=14, busy=busy) == []
+    assert late_requests(monkeypatch, size, scenario, servers=14, busy=busy) == []
 
 
 def test_a_new_departure_log_covers_no_time_before_its_start() -> None:
--- a/tests/test_watch_policy.py
+++ b/tests/test_watch_policy.py
@@ -24,7 +24,7 @@
     last_s = 0.0
     for age_s in (step * 0.05 for step in range(200)):
         if WatchConditions(
-            staleness_limit_s=drain_s, large_fleet=large_fleet, told_age_s=age_s
+            staleness_limit_s=drain_s, large_fleet=large_fleet, reported_age_s=age_s
         ).covered:
             last_s = age_s
     uncovered = servers_watch_policy(
@@ -41,10 +41,10 @@
     # A relaxed watch may return a departure seconds late. No VM may rely on it
     # for what the lease holder's messages do not cover.
     covered = WatchConditions(
-        staleness_limit_s=drain_s, large_fleet=large_fleet, told_age_s=FRESH_S
+        staleness_limit_s=drain_s, large_fleet=large_fleet, reported_age_s=FRESH_S
     )
     uncovered = WatchConditions(
-        staleness_limit_s=drain_s, large_fleet=large_fleet, told_age_s=drain_s
+        staleness_limit_s=drain_s, large_fleet=large_fleet, reported_age_s=drain_s
     )
     assert (
         servers_watch_policy(covered).relaxed and catalog_watch_policy(covered).relaxed
@@ -68,7 +68,7 @@
     )
     oldest_s = catalog_watch_policy(holding).wait_s + interval_s
     assert WatchConditions(
-        staleness_limit_s=staleness_limit_s, large_fleet=True, told_age_s=oldest_s
+        staleness_limit_s=staleness_limit_s, large_fleet=True, reported_age_s=oldest_s
     ).covered
 
 
@@ -77,7 +77,7 @@
     large_fleet: bool, drain_s: float
 ) -> None:
     stale = WatchConditions(
-        staleness_limit_s=drain_s, large_fleet=large_fleet, told_age_s=drain_s
+        staleness_limit_s=drain_s, large_fleet=large_fleet, reported_age_s=drain_s
     )
     uncovered = WatchConditions(staleness_limit_s=drain_s, large_fleet=large_fleet)
     assert servers_watch_policy(stale) == servers_watch_policy(uncovered)
@@ -90,7 +90,7 @@
     # Versions came every third of a second. Batched for eight seconds as the
     # servers' entries are, the next one took effect long after its deadline.
     covered = WatchConditions(
-        staleness_limit_s=drain_s, large_fleet=large_fleet, told_age_s=FRESH_S
+        staleness_limit_s=drain_s, large_fleet=large_fleet, reported_age_s=FRESH_S
     )
     assert catalog_watch_policy(covered).gather_s <= 0.25
 
@@ -100,7 +100,7 @@
     large_fleet: bool, drain_s: float
 ) -> None:
     covered = WatchConditions(
-        staleness_limit_s=drain_s, large_fleet=large_fleet, told_age_s=FRESH_S
+        staleness_limit_s=drain_s, large_fleet=large_fleet, reported_age_s=FRESH_S
     )
-    for pace in (servers_watch_policy(covered), catalog_watch_policy(covered)):
-        assert pace.gather_s + pace.wait_s < 20.0
+    for policy in (servers_watch_policy(covered), catalog_watch_policy(covered)):
+        assert policy.gather_s + policy.wait_s < 20.0
