--- a/src/rosepath/demand.py
+++ b/src/rosepath/demand.py
@@ -91,7 +91,7 @@
         if step > 0 and prompt.adapter:
             window.prefills.append((now_s, 0.0, prompt.adapter))
 
-    def now(self, service: str, *, now_s: float) -> dict[str, ModelDemand]:
+    def current(self, service: str, *, now_s: float) -> dict[str, ModelDemand]:
         """Return the current demand for each model of a service."""
         demands = {}
         for (name, model), window in self._windows.items():
--- a/src/rosepath/demand_history.py
+++ b/src/rosepath/demand_history.py
@@ -26,7 +26,7 @@
         self,
         demands: Mapping[str, ModelDemand],
         *,
-        held: Collection[str],
+        resident_models: Collection[str],
         now_s: float,
     ) -> None:
         """Update the counts from the demand and the models with a replica."""
@@ -36,10 +36,10 @@
             self.unserved_requests.clear()
             return
         for model in list(self.unserved_requests):
-            if model in held:
+            if model in resident_models:
                 del self.unserved_requests[model]
         for model, demand in demands.items():
-            if model not in held:
+            if model not in resident_models:
                 more = demand.requests_per_s * elapsed_s
                 self.unserved_requests[model] = (
                     self.unserved_requests.get(model, 0.0) + more
--- a/src/rosepath/engine_choice.py
+++ b/src/rosepath/engine_choice.py
@@ -43,7 +43,7 @@
 
 def holds_adapter(server: BackendServer, prompt: Prompt) -> bool:
     """Return whether an engine with the model has the prompt's adapter."""
-    return not prompt.adapter or prompt.adapter in server.held[prompt.model]
+    return not prompt.adapter or prompt.adapter in server.resident_models[prompt.model]
 
 
 def adapter_delay_s(
@@ -60,7 +60,10 @@
     engine: BackendServer, prompt: Prompt, *, adapter_slots: int, now_s: float
 ) -> bool:
     """Return whether an engine is known to have capacity for a generation."""
-    if prompt.model not in engine.held or engine.requests >= engine.entry.slots:
+    if (
+        prompt.model not in engine.resident_models
+        or engine.requests >= engine.entry.slots
+    ):
         return False
     if holds_adapter(engine, prompt):
         return True
@@ -86,7 +89,7 @@
         for engine in engines
         if engine.accepts_requests(now_s)
         and engine.name not in tried
-        and prompt.model in engine.held
+        and prompt.model in engine.resident_models
     ]
     candidates = healthy_servers(eligible, cut_off=cut_off, now_s=now_s) or eligible
     pool = {engine.name: engine for engine in candidates}
--- a/src/rosepath/engine_plan.py
+++ b/src/rosepath/engine_plan.py
@@ -132,7 +132,7 @@
         swaps = [
             swap
             for engine in engines
-            if model not in state.held[engine.name]
+            if model not in state.resident_models[engine.name]
             and (store_room or model in engine.local_load_s)
             and (swap := _swap_for(engine, model, replica_gain_per_s, state))
             is not None
--- a/src/rosepath/engine_plan_state.py
+++ b/src/rosepath/engine_plan_state.py
@@ -40,7 +40,7 @@
     data_centre: str
     memory_mb: float
     used_mb: float
-    # Seconds since each held model was loaded.
+    # Seconds since each resident model was loaded.
     age_s: Mapping[str, float]
     in_use: Mapping[str, int]
     # False while an order is in progress.
@@ -76,7 +76,7 @@
     # Engines by model that they hold or load.
     replicas: dict[str, set[str]]
     # Models by engine.
-    held: dict[str, set[str]]
+    resident_models: dict[str, set[str]]
     workload_by_model: dict[str, Workload] = field(default_factory=dict)
     workload_by_engine: dict[str, Workload] = field(default_factory=dict)
     _unload_costs: dict[str, list[tuple[float, str]]] = field(default_factory=dict)
@@ -98,7 +98,7 @@
             limits=limits,
             unserved_requests=unserved_requests,
             replicas={model: set() for model in models},
-            held={
+            resident_models={
                 engine.name: set(engine.age_s) | ({engine.loading_model} - {""})
                 for engine in engines
             },
@@ -113,8 +113,8 @@
                 running=running[model],
                 adapters=len(demand.adapters),
             )
-        for name, held in state.held.items():
-            for model in held:
+        for name, resident_models in state.resident_models.items():
+            for model in resident_models:
                 state.replicas.setdefault(model, set()).add(name)
         state._recompute_workloads(state.engines)
         return state
@@ -125,15 +125,15 @@
         for model in swap.evicted_models:
             affected |= self.replicas[model]
             self.replicas[model].discard(swap.engine)
-            self.held[swap.engine].discard(model)
+            self.resident_models[swap.engine].discard(model)
         self.replicas[swap.model].add(swap.engine)
-        self.held[swap.engine].add(swap.model)
+        self.resident_models[swap.engine].add(swap.model)
         self._recompute_workloads(affected | self.replicas[swap.model])
 
     def _recompute_workloads(self, engines: Iterable[str]) -> None:
         for name in engines:
             workload = NO_WORKLOAD
-            for model in self.held[name]:
+            for model in self.resident_models[name]:
                 workload = workload.plus(
                     self.replica_workload(model, len(self.replicas[model]))
                 )
@@ -161,7 +161,7 @@
     def missing_adapters(self, engine: EngineView) -> float:
         """Return the requested adapters an engine lacks and has slots for."""
         missing, present = 0.0, 0
-        for model in self.held[engine.name]:
+        for model in self.resident_models[engine.name]:
             demand = self.demands.get(model)
             for adapter in demand.adapters if demand else ():
                 if f"{model}/{adapter}" in engine.adapters:
--- a/src/rosepath/fleet.py
+++ b/src/rosepath/fleet.py
@@ -97,7 +97,7 @@
     latency_s: float = 0.0
     error_rate: float = 0.0
     # The entry's models, updated from later responses and orders.
-    held: dict[str, set[str]] = field(default_factory=dict)
+    resident_models: dict[str, set[str]] = field(default_factory=dict)
     # Until when it is known to be busy with an order and to load no adapter.
     order_busy_until_s: float = -1e9
     # Until when it sheds requests of this VM, as given in its refusal.
@@ -248,7 +248,9 @@
             server = self.servers[entry.name] = BackendServer(entry=entry)
         server.entry = entry
         server.left = False
-        server.held = {name: set(adapters) for name, adapters in entry.models.items()}
+        server.resident_models = {
+            name: set(adapters) for name, adapters in entry.models.items()
+        }
         return restarted
 
     def _note_leaving(self, name: str, born_ms: int) -> None:
--- a/src/rosepath/order_dispatcher.py
+++ b/src/rosepath/order_dispatcher.py
@@ -141,8 +141,10 @@
         demands = self._ports.demand(service)
         service_objectives = catalog.objectives.get(service, Objectives())
         history = self._histories.setdefault(service, DemandHistory())
-        held = {model for view in views for model in (*view.age_s, view.loading_model)}
-        history.update(demands, held=held, now_s=now_s)
+        resident_models = {
+            model for view in views for model in (*view.age_s, view.loading_model)
+        }
+        history.update(demands, resident_models=resident_models, now_s=now_s)
         swaps = plan_swaps(
             views,
             spec.models,
--- a/src/rosepath/placement_coordinator.py
+++ b/src/rosepath/placement_coordinator.py
@@ -241,7 +241,7 @@
         """Return the demand of this VM's callers, by service and model."""
         now_s = self._clock.monotonic_s()
         return {
-            service: self.demand.now(service, now_s=now_s)
+            service: self.demand.current(service, now_s=now_s)
             for service in self.demand.services
         }
 
@@ -429,8 +429,8 @@
         ready = await self.link.request_adapter(
             request, holder.address, limit_s=limit_s
         )
-        if ready and prompt.model in server.held:
-            server.held[prompt.model].add(prompt.adapter)
+        if ready and prompt.model in server.resident_models:
+            server.resident_models[prompt.model].add(prompt.adapter)
         return ready
 
     async def handle_adapter_request(self, request: AdapterRequest) -> bool:
--- a/src/rosepath/relay.py
+++ b/src/rosepath/relay.py
@@ -45,7 +45,7 @@
 
 
 class Relay:
-    """Route callers' requests, run their attempts and answer them.
+    """Route callers' requests, run their attempts and send the responses.
 
     Every request ends in a response, a refusal or a closed connection. Used by
     the gateway of the entry VM.
@@ -161,7 +161,7 @@
             server, in_flight = await self._picker.choose(context)
             sent_s = self._now_s()
             try:
-                answer = await self._attempt(context, server, in_flight)
+                response = await self._attempt(context, server, in_flight)
             except AttemptError as error:
                 context.attempt_evidence.append(error.evidence)
                 self._note_failed(context, server, error)
@@ -169,29 +169,29 @@
                 await self._retry_policy.wait_to_retry(context, error)
                 continue
             server.last_activity_s = self._now_s()
-            failed = not answer.success
-            if failed and await self._retry_error_response(context, server, answer):
+            failed = not response.success
+            if failed and await self._retry_error_response(context, server, response):
                 continue
             note_success(server, took_s=self._now_s() - sent_s)
-            self._suspects.clear(context, answer)
-            self._finish(context, server, answer)
+            self._suspects.clear(context, response)
+            self._finish(context, server, response)
             return
 
     async def _retry_error_response(
-        self, context: RequestContext, server: BackendServer, answer: ServerResponse
+        self, context: RequestContext, server: BackendServer, response: ServerResponse
     ) -> bool:
         """Return whether to retry a request that got an error response.
 
         Raises RefusalError if the request can neither be retried nor the
         response be passed on.
         """
-        if answer.head.status < 500 and not context.exchange.response_started:
+        if response.head.status < 500 and not context.exchange.response_started:
             return False
         context.tried.add(server.name)
         context.attempt_evidence.append(Evidence.SENT)
         note_error(server)
         error = AttemptError(
-            f"the server answered {answer.head.status}",
+            f"the server answered {response.head.status}",
             step=Step.ANSWER,
             peer=server.name,
             evidence=Evidence.SENT,
@@ -309,13 +309,13 @@
             # The server no longer holds the model or adapter that it was
             # listed with.
             prompt = context.call.prompt
-            if prompt.adapter and prompt.model in server.held:
-                server.held[prompt.model].discard(prompt.adapter)
+            if prompt.adapter and prompt.model in server.resident_models:
+                server.resident_models[prompt.model].discard(prompt.adapter)
             else:
-                server.held.pop(prompt.model, None)
+                server.resident_models.pop(prompt.model, None)
 
     def _finish(
-        self, context: RequestContext, server: BackendServer, answer: ServerResponse
+        self, context: RequestContext, server: BackendServer, response: ServerResponse
     ) -> None:
         context.responded_by = server.name
         exchange = context.exchange
@@ -323,9 +323,11 @@
             exchange.end()
         else:
             exchange.respond(
-                answer.head.status, answer_headers(answer.head.headers), answer.body
+                response.head.status,
+                answer_headers(response.head.headers),
+                response.body,
             )
-        self._ports.on_outcome(context, answer.head.status, "")
+        self._ports.on_outcome(context, response.head.status, "")
 
     def _give_up(self, context: RequestContext, error: RefusalError) -> None:
         refusal = error.refusal
--- a/src/rosepath/residency_changes.py
+++ b/src/rosepath/residency_changes.py
@@ -77,11 +77,11 @@
         if server is None:
             return
         if change.adapter:
-            adapters = server.held.get(change.model, set())
+            adapters = server.resident_models.get(change.model, set())
             (adapters.add if change.present else adapters.discard)(change.adapter)
         elif change.present:
-            server.held.setdefault(change.model, set())
+            server.resident_models.setdefault(change.model, set())
         else:
-            server.held.pop(change.model, None)
+            server.resident_models.pop(change.model, None)
             self._caches.forget_model(change.server, change.model)
         self._changed()
--- a/src/rosepath/server_picker.py
+++ b/src/rosepath/server_picker.py
@@ -181,7 +181,9 @@
             server
             for server in self._ports.fleet.of_service(context.service.name)
             if server.usable
-            and (spec is None or prompt is None or prompt.model in server.held)
+            and (
+                spec is None or prompt is None or prompt.model in server.resident_models
+            )
         ]
 
     async def _pick(
--- a/src/rosepath/suspect_tracker.py
+++ b/src/rosepath/suspect_tracker.py
@@ -80,13 +80,13 @@
                 context.content_key, request_id=context.call.request_id
             )
 
-    def clear(self, context: RequestContext, answer: ServerResponse) -> None:
+    def clear(self, context: RequestContext, response: ServerResponse) -> None:
         """Record a completed run, which clears the request of earlier crashes.
 
         A response that is delimited only by the end of its connection proves
         nothing: a crash may have truncated it.
         """
-        if self._crashes.records and answer.delimited:
+        if self._crashes.records and response.delimited:
             self._crashes.clear(context.content_key)
 
     async def note_failed(
--- a/tests/entry_builders.py
+++ b/tests/entry_builders.py
@@ -131,7 +131,9 @@
 def a_server(name: str, **options: object) -> BackendServer:
     entry = an_entry(name, **options)  # type: ignore[arg-type]
     server = BackendServer(entry=entry)
-    server.held = {model: set(adapters) for model, adapters in entry.models.items()}
+    server.resident_models = {
+        model: set(adapters) for model, adapters in entry.models.items()
+    }
     return server
 
 
--- a/tests/test_engine_plan.py
+++ b/tests/test_engine_plan.py
@@ -209,9 +209,9 @@
     ticks: int,
 ) -> set[str]:
     history = DemandHistory()
-    held = {name for view in engines for name in view.age_s}
+    resident_models = {name for view in engines for name in view.age_s}
     for tick in range(ticks):
-        history.update(demands, held=held, now_s=tick / 10)
+        history.update(demands, resident_models=resident_models, now_s=tick / 10)
         swaps = plan_swaps(
             engines,
             models,
@@ -268,12 +268,12 @@
     history = DemandHistory()
     demands = {"m0": ModelDemand(0.0, 2, requests_per_s=3.0)}
     for now_s in (0.0, 1.0, 2.0):
-        history.update(demands, held=(), now_s=now_s)
+        history.update(demands, resident_models=(), now_s=now_s)
     assert history.unserved_requests == {"m0": 6.0}
-    history.update(demands, held=("m0",), now_s=3.0)
+    history.update(demands, resident_models=("m0",), now_s=3.0)
     assert history.unserved_requests == {}
-    history.update(demands, held=(), now_s=4.0)
-    history.update(demands, held=(), now_s=60.0)
+    history.update(demands, resident_models=(), now_s=4.0)
+    history.update(demands, resident_models=(), now_s=60.0)
     assert history.unserved_requests == {}
 
 
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -19,7 +19,7 @@
     assert fleet.put(replace(an_entry("e1", models={}), born_ms=200))
     restarted = fleet.servers["e1"]
     assert (restarted.requests, restarted.failures, restarted.error_rate) == (0, 0, 0.0)
-    assert restarted.held == {}
+    assert restarted.resident_models == {}
     assert previous.left
 
 
@@ -29,7 +29,7 @@
     fleet.put(replace(an_entry("e1", models={}), born_ms=200))
     assert not fleet.put(replace(an_entry("e1"), born_ms=100))
     assert not fleet.put(an_entry("e1"))
-    assert fleet.servers["e1"].held == {}
+    assert fleet.servers["e1"].resident_models == {}
     fleet.remove("e1")
     fleet.put(replace(an_entry("e1"), born_ms=100))
     assert fleet.servers == {}
--- a/tests/test_order_swaps.py
+++ b/tests/test_order_swaps.py
@@ -74,7 +74,7 @@
     asyncio.run(run())
 
 
-def test_model_stays_unloaded_if_only_the_answer_was_lost() -> None:
+def test_model_stays_unloaded_if_only_the_response_was_lost() -> None:
     # The order was executed; only its responses were lost. If the model were
     # announced as loaded again, it would attract requests that the engine
     # rejects.
--- a/tests/test_server_notices.py
+++ b/tests/test_server_notices.py
@@ -93,7 +93,7 @@
 
 
 # Guards against an entry that expired in an outage and is restored in its
-# state before the leave overriding the server's own notice.
+# state before the departure overriding the server's own notice.
 @sizes
 def test_a_restored_entry_does_not_override_the_leaving_notice(
     monkeypatch: pytest.MonkeyPatch, size: tuple[int, float, float]
--- a/tests/timed_engines.py
+++ b/tests/timed_engines.py
@@ -349,7 +349,7 @@
     async def ensure_adapter(
         self, _: str, server: BackendServer, prompt: Prompt, **__: Any
     ) -> bool:
-        server.held[prompt.model].add(prompt.adapter)
+        server.resident_models[prompt.model].add(prompt.adapter)
         return True
 
 
