--- a/src/rosepath/configuration_exchange.py
+++ b/src/rosepath/configuration_exchange.py
@@ -17,7 +17,7 @@
 
 
 class ConfigurationExchange:
-    """Fetches newer configurations from peers and serves the local one.
+    """Fetch newer configurations from peers and serve the local one.
 
     Only the shards that the receiver does not have are transferred.
     """
--- a/src/rosepath/configuration_follower.py
+++ b/src/rosepath/configuration_follower.py
@@ -14,7 +14,7 @@
 
 
 class ConfigurationFollower:
-    """Watches the head in the store and pulls newer versions.
+    """Watch the head in the store and pull newer versions.
 
     Only relays watch the store, and VMs that have no configuration yet. The
     others fetch newer versions from their peers.
--- a/src/rosepath/configuration_store.py
+++ b/src/rosepath/configuration_store.py
@@ -74,7 +74,7 @@
 
 
 class ConfigurationStore:
-    """Pulls configurations from the store and commits changes to it.
+    """Pull configurations from the store and commit changes to it.
 
     `store_is_older` states whether the store's head was older than the version
     in force at the last pull.
--- a/src/rosepath/daemon.py
+++ b/src/rosepath/daemon.py
@@ -46,8 +46,7 @@
 
 
 async def run_daemon(settings: Settings) -> int:
-    """
-    Serve until SIGTERM or SIGINT; return the exit code.
+    """Serve until SIGTERM or SIGINT; return the exit code.
 
     A second signal stops the daemon without draining requests. SIGHUP reloads
     the certificates of the caller and peer listeners.
--- a/src/rosepath/deferred_execution.py
+++ b/src/rosepath/deferred_execution.py
@@ -20,7 +20,7 @@
 
 
 class DeferredExecution:
-    """Executes deferred requests; used by the deferred runner."""
+    """Execute deferred requests; used by the deferred runner."""
 
     def __init__(
         self,
--- a/src/rosepath/deferred_runner.py
+++ b/src/rosepath/deferred_runner.py
@@ -106,7 +106,7 @@
 
 @dataclass(slots=True)
 class DeferredRunner:
-    """Runs the stored requests that are assigned to this VM and due."""
+    """Run the stored requests that are assigned to this VM and due."""
 
     ports: RunnerPorts
     observed: dict[str, _ObservedRequest] = field(default_factory=dict)
--- a/src/rosepath/gossip.py
+++ b/src/rosepath/gossip.py
@@ -47,8 +47,7 @@
 
 @dataclass(slots=True)
 class Link:
-    """
-    Track what a neighbour has acknowledged.
+    """Track what a neighbour has acknowledged.
 
     `next_send_s` is the earliest time at which a throttled load row may be
     sent to the neighbour again.
@@ -106,8 +105,7 @@
     def batch_for(
         self, neighbour: str, *, now_s: float, load_interval_s: float = 0.0
     ) -> Batch:
-        """
-        Return the rows that a neighbour lacks, oldest first, for one frame.
+        """Return the rows that a neighbour lacks, oldest first, for one frame.
 
         A load row is sent over a link at most once in `load_interval_s`; a
         throttled row is sent later, in its version at that time.
--- a/src/rosepath/limit_keeper.py
+++ b/src/rosepath/limit_keeper.py
@@ -21,8 +21,7 @@
 
 
 class LimitKeeper:
-    """
-    Rebalance the share units and apply the limits that they allow.
+    """Rebalance the share units and apply the limits that they allow.
 
     Read the share ledger every REBALANCE_INTERVAL_S while it is out of
     balance, and every IDLE_INTERVAL_S otherwise.
--- a/src/rosepath/limits.py
+++ b/src/rosepath/limits.py
@@ -116,8 +116,7 @@
 
 
 def reclaim_lent(row: LimitRow, removed: frozenset[str]) -> None:
-    """
-    Reclaim slots lent to entry VMs that the platform has removed.
+    """Reclaim slots lent to entry VMs that the platform has removed.
 
     Inactivity is not enough: a partitioned borrower may still be running the
     request, and lending its slot again would exceed the limit.
--- a/src/rosepath/membership.py
+++ b/src/rosepath/membership.py
@@ -19,8 +19,7 @@
 
 
 def member_version(incarnation: int, state: MemberState, revision: int) -> int:
-    """
-    Return a version that orders member rows by incarnation, then by state.
+    """Return a version that orders member rows by incarnation, then by state.
 
     A DEAD row overrides every row of that incarnation with a better state; a
     member that is alive overrides it with a new incarnation.
@@ -78,8 +77,7 @@
     now_s: float,
     suspect_after_s: float,
 ) -> list[str]:
-    """
-    Return the monitored members without a frame for `suspect_after_s`.
+    """Return the monitored members without a frame for `suspect_after_s`.
 
     A lost packet is retransmitted and does not lose the heartbeat, and a
     heartbeat in either direction counts; so a loss of 20% of the packets does
@@ -98,8 +96,7 @@
     vms: Mapping[str, VmState] | None,
     ever_listed: frozenset[str],
 ) -> frozenset[str]:
-    """
-    Return the holders that the platform once listed and no longer lists.
+    """Return the holders that the platform once listed and no longer lists.
 
     The list lags and may lack a new VM, so only VMs in `ever_listed` count.
     A VM that is a member and not dead is not removed.
--- a/src/rosepath/node.py
+++ b/src/rosepath/node.py
@@ -57,8 +57,7 @@
 
 
 class Node:
-    """
-    Own the components and state of one entry VM and run its loops.
+    """Own the components and state of one entry VM and run its loops.
 
     The daemon creates one per process; `stop` drains the requests in flight
     before it closes anything.
@@ -273,8 +272,7 @@
         loops.every(DEFERRED_SCAN_S, self._scan_deferred)
 
     async def stop(self) -> None:
-        """
-        Stop gracefully.
+        """Stop gracefully.
 
         Report unready, announce the departure, drain the requests in flight,
         release the lease and the share units, then close everything.
@@ -394,8 +392,7 @@
     # Deferred requests
 
     async def _scan_deferred(self) -> None:
-        """
-        Scan for deferred requests, on relays only.
+        """Scan for deferred requests, on relays only.
 
         With a scan on every VM, the store's load would grow with the fleet.
         """
--- a/src/rosepath/operators.py
+++ b/src/rosepath/operators.py
@@ -50,7 +50,7 @@
 
 
 class OperatorService(OperatorsBase):
-    """Implements the operators' gRPC service."""
+    """Implement the operators' gRPC service."""
 
     def __init__(self, ports: OperatorPorts) -> None:
         self._ports = ports
--- a/src/rosepath/peer_channels.py
+++ b/src/rosepath/peer_channels.py
@@ -38,8 +38,7 @@
         return PeersStub(self._channels[address])
 
     def drop(self, address: str) -> None:
-        """
-        Close a peer's channel.
+        """Close a peer's channel.
 
         A connection that stopped responding does not recover, so the next
         call must open a new one.
--- a/src/rosepath/peer_configuration.py
+++ b/src/rosepath/peer_configuration.py
@@ -49,9 +49,9 @@
 
 
 class PeerConfigurationFetcher:
-    """Fetches newer configurations from other entry VMs.
+    """Fetch newer configurations from other entry VMs.
 
-    Passes them to the store watcher of the configuration, which applies them.
+    Pass them to the store watcher of the configuration, which applies them.
     """
 
     def __init__(
@@ -196,7 +196,7 @@
 
 
 class ConfigurationHandler(RequestHandler):
-    """Serves the configuration in force to another entry VM."""
+    """Serve the configuration in force to another entry VM."""
 
     def initialize(
         self,
--- a/src/rosepath/peer_exchange.py
+++ b/src/rosepath/peer_exchange.py
@@ -46,7 +46,7 @@
 
 
 class PeerExchange:
-    """Builds this VM's state messages and applies those of other entry VMs.
+    """Build this VM's state messages and apply those of other entry VMs.
 
     Owns the `PeerLink`, over which they are sent and received.
     """
--- a/src/rosepath/peer_link.py
+++ b/src/rosepath/peer_link.py
@@ -30,7 +30,7 @@
 
 
 class PeerLink(asyncio.DatagramProtocol):
-    """Owns the UDP socket and the adapter requests that await a reply."""
+    """Own the UDP socket and the adapter requests that await a reply."""
 
     def __init__(
         self,
--- a/src/rosepath/peer_table.py
+++ b/src/rosepath/peer_table.py
@@ -55,7 +55,7 @@
 
 
 class PeerTable:
-    """Owns the known entry VMs, by name, and chooses recipients of messages.
+    """Own the known entry VMs, by name, and choose recipients of messages.
 
     Each received message looks up the lease holder and the inactive data
     centres. A scan of all peers for each would make the work of the fleet grow
--- a/src/rosepath/peers.py
+++ b/src/rosepath/peers.py
@@ -59,8 +59,7 @@
 
 
 class PeerNetwork:
-    """
-    Own the gossip state and the time of the last frame from each peer.
+    """Own the gossip state and the time of the last frame from each peer.
 
     Run the exchanges with neighbours, declare peers dead that no longer send
     frames, and publish this VM's own member row.
@@ -147,8 +146,7 @@
     # Outgoing calls
 
     def neighbours(self) -> list[str]:
-        """
-        Return the members that this VM calls, nearest on the ring first.
+        """Return the members that this VM calls, nearest on the ring first.
 
         The ring is ordered by data centre, so that most links are local.
         """
@@ -322,8 +320,7 @@
         return not mismatch
 
     def _apply_frame(self, frame: GossipFrame) -> None:
-        """
-        Merge a frame's rows and record its sender's sequence.
+        """Merge a frame's rows and record its sender's sequence.
 
         Fetch the configuration from the sender if it has a newer version.
         """
--- a/src/rosepath/roles.py
+++ b/src/rosepath/roles.py
@@ -32,8 +32,7 @@
 
 
 def lease_candidates(members: Mapping[str, EntryVm], data_centre: str) -> list[str]:
-    """
-    Return the members that may acquire the placement lease.
+    """Return the members that may acquire the placement lease.
 
     There are two, so that one remains if the other fails.
     """
--- a/src/rosepath/settings.py
+++ b/src/rosepath/settings.py
@@ -20,8 +20,7 @@
 
 
 class TlsSettings(Section):
-    """
-    Name the PEM files of a listener.
+    """Name the PEM files of a listener.
 
     On SIGHUP the certificates of the caller and peer listeners are reloaded.
     """
@@ -82,8 +81,7 @@
 
 
 class PlacementSettings(Section):
-    """
-    Configure the placement lease and the placement of models.
+    """Configure the placement lease and the placement of models.
 
     The settings weigh goal attainment against the cost of moves and bound the
     load on the weight store.
--- a/src/rosepath/share_keeper.py
+++ b/src/rosepath/share_keeper.py
@@ -19,8 +19,7 @@
 
 
 class ShareKeeper:
-    """
-    Own the ledger as last read and the units in effect on this VM.
+    """Own the ledger as last read and the units in effect on this VM.
 
     The units in effect are reduced before a write that releases some, and
     increased only after a write that acquires some has succeeded.
--- a/src/rosepath/shares.py
+++ b/src/rosepath/shares.py
@@ -51,8 +51,7 @@
 def units_to_release(
     ledger: ShareLedger, *, me: str, live: frozenset[str]
 ) -> frozenset[int]:
-    """
-    Return the own units beyond the fair share while a VM is underserved.
+    """Return the own units beyond the fair share while a VM is underserved.
 
     A VM is underserved if it holds less than half the fair share. Smaller
     differences are tolerated, as otherwise a join in a large fleet would make
@@ -74,8 +73,7 @@
 def units_to_acquire(
     ledger: ShareLedger, *, me: str, live: frozenset[str], removed: frozenset[str]
 ) -> frozenset[int]:
-    """
-    Return unassigned units and those of removed VMs, up to the fair share.
+    """Return unassigned units and those of removed VMs, up to the fair share.
 
     Once every live VM has its fair share, remaining units are acquired one
     at a time by whichever VM writes first.
--- a/src/rosepath/supervisor.py
+++ b/src/rosepath/supervisor.py
@@ -23,8 +23,7 @@
         self._spawn(self._repeat(interval_s, step))
 
     def forever(self, run: Callable[[], Coroutine[Any, Any, None]]) -> None:
-        """
-        Run a loop and restart it if it ends or fails.
+        """Run a loop and restart it if it ends or fails.
 
         If a loop ended for good, the VM would continue to serve callers with
         gossip or the configuration no longer updated.
--- a/src/rosepath/tls.py
+++ b/src/rosepath/tls.py
@@ -6,8 +6,7 @@
 
 
 def server_context(settings: TlsSettings | None) -> ssl.SSLContext | None:
-    """
-    Build the context of a listener.
+    """Build the context of a listener.
 
     With a client CA, clients must present a certificate.
     """
@@ -22,8 +21,7 @@
 
 
 def peer_client_context(settings: TlsSettings | None) -> ssl.SSLContext | None:
-    """
-    Build the context for calls to peers.
+    """Build the context for calls to peers.
 
     Peers are verified by a certificate of the deployment's own CA and not by
     host name, as addresses are IP addresses that change with every VM.
--- a/src/rosepath/token_bucket.py
+++ b/src/rosepath/token_bucket.py
@@ -5,8 +5,7 @@
 
 @dataclass(slots=True, kw_only=True)
 class TokenBucket:
-    """
-    Allow `rate_per_s` on average and bursts of `burst`.
+    """Allow `rate_per_s` on average and bursts of `burst`.
 
     A bucket whose `level` is None is full at its first use.
     """
