--- a/tests/test_lease_handover.py
+++ b/tests/test_lease_handover.py
@@ -29,7 +29,7 @@
 
 @settings(deadline=None, max_examples=200)
 @given(st.lists(step, max_size=80))
-def test_holders_keep_the_pauses_between_their_acts(
+def test_orders_of_successive_holders_keep_their_minimum_interval(
     steps: list[tuple[str, float, str]],
 ) -> None:
     # Holders pause, lose the store, resign or release the lease. The last
--- a/tests/test_leases.py
+++ b/tests/test_leases.py
@@ -29,7 +29,7 @@
 
 @settings(deadline=None)
 @given(st.lists(step, max_size=60))
-def test_at_most_one_node_holds_a_lease(
+def test_at_most_one_vm_holds_a_lease(
     steps: list[tuple[str, float, str]],
 ) -> None:
     # Keepers step at any time or pause, replies are lost, and the store is
--- a/tests/test_server_notices.py
+++ b/tests/test_server_notices.py
@@ -265,7 +265,7 @@
 def test_leaving_notices_are_read_from_responses_to_orders_and_reports(
     status: int,
 ) -> None:
-    heard: list[tuple[str, ServerNotice]] = []
+    notices: list[tuple[str, ServerNotice]] = []
 
     class Pool:
         async def fetch(self, _: Request) -> tuple[ResponseHead, bytes]:
@@ -274,7 +274,7 @@
 
     async def play_calls() -> None:
         calls = EngineCalls(
-            pool=cast(Any, Pool()), on_notice=lambda *told: heard.append(told)
+            pool=cast(Any, Pool()), on_notice=lambda *notice: notices.append(notice)
         )
         order = Order(
             action=OrderAction.LOAD,
@@ -289,7 +289,7 @@
             await calls.report("e1:1", "e1")
 
     asyncio.run(play_calls())
-    assert heard == [("e1", ServerNotice(leaving=True))] * 2
+    assert notices == [("e1", ServerNotice(leaving=True))] * 2
 
 
 # Guards against attributing a notice to a server whose address another server
