--- a/src/rosepath/fleet.py
+++ b/src/rosepath/fleet.py
@@ -96,13 +96,13 @@
     connect_failed_s: float = -1e9
     latency_s: float = 0.0
     error_rate: float = 0.0
-    # The entry's models, updated from later answers and orders.
-    held: dict[str, set[str]] = field(default_factory=dict)
+    # The entry's models, updated from later responses and orders.
+    resident_models: dict[str, set[str]] = field(default_factory=dict)
     # Until when it is known to be busy with an order and to load no adapter.
     order_busy_until_s: float = -1e9
     # Until when it sheds requests of this VM, as given in its refusal.
     backoff_until_s: float = -1e9
-    # Set by a backoff until the server answers without load shedding.
+    # Set by a backoff until the server responds without load shedding.
     half_open: bool = False
     # When the last probe request was sent to the half-open server.
     probed_s: float = -1e9
@@ -134,7 +134,7 @@
         probing = self.half_open and now_s < self.probed_s + HALF_OPEN_PROBE_S
         return self.usable and not self.in_backoff(now_s) and not probing
 
-    def moved_ago_s(self, now_s: float) -> float | None:
+    def idle_s(self, now_s: float) -> float | None:
         """Return the time since its last progress for this VM, if any."""
         return (
             None
@@ -152,13 +152,13 @@
     @property
     def unread_tokens(self) -> int:
         """Return the prompt tokens that wait for prefill on this server."""
-        own = sum(flight.unread_tokens for flight in self.in_flight_requests.values())
+        own = sum(request.unread_tokens for request in self.in_flight_requests.values())
         return own + sum(load.unread_tokens for load in self.peers.values())
 
     @property
     def targets_in_use(self) -> Counter[str]:
         """Return the running requests by model and adapter."""
-        used = Counter(flight.target for flight in self.in_flight_requests.values())
+        used = Counter(request.target for request in self.in_flight_requests.values())
         for load in self.peers.values():
             used.update(load.targets)
         return used
@@ -192,7 +192,8 @@
         self._born_ms: OrderedDict[str, int] = OrderedDict()
         self._gone_at: OrderedDict[str, int] = OrderedDict()
         # Latest start of each server that is known to be leaving. After a
-        # store outage, its expired entry may reappear as written before.
+        # store outage, its expired entry may reappear as it was written
+        # before.
         self._leaving: OrderedDict[str, int] = OrderedDict()
 
     def note_leaving(self, leaving: LeavingServer) -> bool:
@@ -247,7 +248,9 @@
             server = self.servers[entry.name] = BackendServer(entry=entry)
         server.entry = entry
         server.left = False
-        server.held = {name: set(adapters) for name, adapters in entry.models.items()}
+        server.resident_models = {
+            name: set(adapters) for name, adapters in entry.models.items()
+        }
         return restarted
 
     def _note_leaving(self, name: str, born_ms: int) -> None:
@@ -283,8 +286,8 @@
     in_flight_requests = server.in_flight_requests.values()
     return PeerLoad(
         requests=len(in_flight_requests),
-        unread_tokens=sum(flight.unread_tokens for flight in in_flight_requests),
+        unread_tokens=sum(request.unread_tokens for request in in_flight_requests),
         targets=Counter(
-            flight.target for flight in in_flight_requests if flight.target
+            request.target for request in in_flight_requests if request.target
         ),
     )
--- a/src/rosepath/placement_coordinator.py
+++ b/src/rosepath/placement_coordinator.py
@@ -92,20 +92,20 @@
         self.resigned_version = 0
         self.handover = LeaseHandover()
         self._handover_accepted_s = -1e9
-        self.moves = ResidencyChanges(
+        self.residency_changes = ResidencyChanges(
             clock=clock,
             fleet=fleet,
             caches=caches,
             changed=changed,
             send_state=ThrottledCall(
                 self._send_state, interval_s=self._move_interval_s
-            ).ask,
+            ).request,
         )
         self._arrivals = ModelArrivals()
         self._was_holder = False
         self._finishing_orders = False
         # Set when this VM becomes the holder; cleared by the planning loop.
-        self.term_begun = asyncio.Event()
+        self.term_started = asyncio.Event()
         self._lease_checked = False
         self._boot_clock = boot_clock or BootClock()
         self.demand = DemandTracker()
@@ -139,13 +139,13 @@
                 fence=lambda: self.leases.fence(LEASE_NAME),
                 demand=self.all_demand,
                 peer_update_interval_s=lambda: peers.interval_s,
-                on_residency_change=self.moves.note,
+                on_residency_change=self.residency_changes.record,
             )
         )
 
     @property
     def holds_lease(self) -> bool:
-        """Tell whether this VM holds the placement lease and may order now."""
+        """Return whether this VM holds the placement lease and may order."""
         # Read for each datagram, so the acknowledgements are only looked
         # through while the lease could not be renewed.
         if self.leases.valid(LEASE_NAME):
@@ -164,7 +164,7 @@
 
     @property
     def _claims_lease(self) -> bool:
-        """Tell whether this VM announces that it holds the lease.
+        """Return whether this VM announces that it holds the lease.
 
         A successor announces it before it may act, as the others acknowledge
         only a VM that does.
@@ -196,12 +196,14 @@
 
     def handle_peer_state(self, state: PeerState) -> None:
         """Apply the state message of another VM to the lease and the fleet."""
-        self.moves.hear(state)
+        self.residency_changes.apply_peer_state(state)
         start, number = state.holder_ack
         if self.link is not None and start == self.link.start:
             self._extension.note_ack(state.entry_vm, number)
         if state.term:
-            self._arrivals.hear(state.arrivals, now_s=self._clock.monotonic_s())
+            self._arrivals.replace_announced(
+                state.arrivals, now_s=self._clock.monotonic_s()
+            )
             self.leases.note_announcement(LEASE_NAME, version=state.lease_version)
         if state.handover.successor == self._me and not self._stopping():
             self._accept_handover(state)
@@ -217,13 +219,13 @@
 
     def note_request_received(self, service: str, prompt: Prompt) -> None:
         """Count a request that arrived for a model."""
-        self.demand.ask(service, prompt, now_s=self._clock.monotonic_s())
+        self.demand.count_request(service, prompt, now_s=self._clock.monotonic_s())
 
     def note_prefill_work(
         self, service: str, prompt: Prompt, *, unread_tokens: int
     ) -> None:
         """Add the prompt tokens that an engine must read for a request."""
-        self.demand.note(
+        self.demand.record_prefill(
             service,
             prompt,
             unread_tokens=unread_tokens,
@@ -233,13 +235,13 @@
     def note_waiting(self, service: str, prompt: Prompt, *, step: int) -> None:
         """Count a request that begins (1) or ends (-1) waiting for a model."""
         now_s = self._clock.monotonic_s()
-        self.demand.wait(service, prompt, step=step, now_s=now_s)
+        self.demand.count_waiting(service, prompt, step=step, now_s=now_s)
 
     def own_demand(self) -> dict[str, Mapping[str, ModelDemand]]:
         """Return the demand of this VM's callers, by service and model."""
         now_s = self._clock.monotonic_s()
         return {
-            service: self.demand.now(service, now_s=now_s)
+            service: self.demand.current(service, now_s=now_s)
             for service in self.demand.services
         }
 
@@ -255,7 +257,7 @@
         """Return when a model will be loaded on an engine, if known."""
         now_s = self._clock.monotonic_s()
         if self.holds_lease:
-            self._arrivals.hear(self.orders.arrivals, now_s=now_s)
+            self._arrivals.replace_announced(self.orders.arrivals, now_s=now_s)
         return self._arrivals.due_s(model, now_s=now_s)
 
     # The lease
@@ -292,10 +294,10 @@
             self._claims_lease or self._stopping()
         ):
             # A successor that not all others acknowledged in time. The lease
-            # is acquired through the store once that answers again.
+            # is acquired through the store once that responds again.
             self.leases.resign(LEASE_NAME)
         if self.holds_lease and not self._was_holder:
-            self.term_begun.set()
+            self.term_started.set()
         self._was_holder = self.holds_lease
 
     def _accept_handover(self, state: PeerState) -> None:
@@ -322,10 +324,10 @@
         return self._extension.extended_until_s(self._peers.required_ackers())
 
     def _store_fails_only_here(self) -> bool:
-        """Tell whether the store fails for this VM but answers another.
+        """Return whether the store fails for this VM but responds to another.
 
-        If it answers no VM, none can acquire the lease, so the holder keeps it
-        until it expires.
+        If it responds to no VM, none can acquire the lease, so the holder
+        keeps it until it expires.
         """
         overdue_s = self.leases.overdue_s(LEASE_NAME)
         if overdue_s < RESIGN_AFTER_OVERDUE_S:
@@ -416,7 +418,7 @@
         holder = self._peers.holder()
         if holder is None or self.link is None:
             return False
-        ask = AdapterRequest(
+        request = AdapterRequest(
             adapter_request_id=uuid.uuid4().hex[:12],
             reply_to=self._address,
             server=server.name,
@@ -424,13 +426,15 @@
             model=prompt.model,
             adapter=prompt.adapter,
         )
-        ready = await self.link.ask(ask, holder.address, limit_s=limit_s)
-        if ready and prompt.model in server.held:
-            server.held[prompt.model].add(prompt.adapter)
+        ready = await self.link.request_adapter(
+            request, holder.address, limit_s=limit_s
+        )
+        if ready and prompt.model in server.resident_models:
+            server.resident_models[prompt.model].add(prompt.adapter)
         return ready
 
-    async def handle_adapter_request(self, ask: AdapterRequest) -> bool:
-        """Load an adapter that another VM asks for; true once it is loaded."""
+    async def handle_adapter_request(self, request: AdapterRequest) -> bool:
+        """Load an adapter that another VM requests; true once it is loaded."""
         return self.holds_lease and await self.orders.ensure_adapter(
-            ask.service, ask.server, ask.model, ask.adapter
+            request.service, request.server, request.model, request.adapter
         )
--- a/src/rosepath/relay.py
+++ b/src/rosepath/relay.py
@@ -26,11 +26,11 @@
 from rosepath.retries import Evidence
 from rosepath.retry_policy import RetryPolicy
 from rosepath.server_choice import (
-    note_answer,
     note_backoff,
     note_connect_failure,
     note_error,
     note_failure,
+    note_response,
     note_success,
 )
 from rosepath.server_notice import ServerNotice
@@ -39,7 +39,7 @@
 
 # Subtracted from each deadline: the caller's clock may run 3 ms ahead of this
 # VM's, and a response that arrives after the caller's deadline is discarded.
-ANSWER_MARGIN_S = 0.02
+RESPONSE_MARGIN_S = 0.02
 # How long a request without a route waits for a newer configuration that is
 # known to exist.
 ROUTE_WAIT_S = 0.4
@@ -49,7 +49,7 @@
 
 
 class Relay:
-    """Route callers' requests, run their attempts and answer them.
+    """Route callers' requests, run their attempts and send the responses.
 
     Every request ends in a response, a refusal or a closed connection. Used by
     the gateway of the entry VM.
@@ -123,7 +123,7 @@
             route=route,
             service=service,
             exchange=exchange,
-            deadline_s=call.arrived_s + limit_s - ANSWER_MARGIN_S,
+            deadline_s=call.arrived_s + limit_s - RESPONSE_MARGIN_S,
             configuration=self._ports.configuration(),
             event_sequence=EventSequence(last_id=call.last_event_id)
             if streams
@@ -162,45 +162,45 @@
 
     async def _run_attempts(self, context: RequestContext) -> None:
         while True:
-            server, flight = await self._picker.choose(context)
+            server, in_flight = await self._picker.choose(context)
             sent_s = self._now_s()
             try:
-                answer = await self._attempt(context, server, flight)
+                response = await self._attempt(context, server, in_flight)
             except AttemptError as error:
                 context.attempt_evidence.append(error.evidence)
                 self._note_failed(context, server, error)
-                await self._suspects.note_failed(context, server, flight, error)
+                await self._suspects.note_failed(context, server, in_flight, error)
                 await self._retry_policy.wait_to_retry(context, error)
                 continue
             server.last_activity_s = self._now_s()
-            failed = not answer.success
-            if failed and await self._retry_error_response(context, server, answer):
+            failed = not response.success
+            if failed and await self._retry_error_response(context, server, response):
                 continue
             note_success(server, took_s=self._now_s() - sent_s)
-            self._suspects.clear(context, answer)
-            self._finish(context, server, answer)
+            self._suspects.clear(context, response)
+            self._finish(context, server, response)
             return
 
     async def _retry_error_response(
-        self, context: RequestContext, server: BackendServer, answer: ServerResponse
+        self, context: RequestContext, server: BackendServer, response: ServerResponse
     ) -> bool:
         """Return whether to retry a request that got an error response.
 
         Raises RefusalError if the request can neither be retried nor the
         response be passed on.
         """
-        if answer.head.status < 500 and not context.exchange.begun:
+        if response.head.status < 500 and not context.exchange.response_started:
             return False
         context.tried.add(server.name)
         context.attempt_evidence.append(Evidence.SENT)
         note_error(server)
         error = AttemptError(
-            f"the server answered {answer.head.status}",
-            step=Step.RESPONSE,
+            f"the server answered {response.head.status}",
+            step=Step.ANSWER,
             peer=server.name,
             evidence=Evidence.SENT,
         )
-        if context.exchange.begun:
+        if context.exchange.response_started:
             # The caller has received part of a stream. This response can't be
             # passed on, and ending the stream would make it look complete.
             await self._retry_policy.wait_to_retry(context, error)
@@ -211,15 +211,17 @@
         return context.obstacle is None
 
     async def _attempt(
-        self, context: RequestContext, server: BackendServer, flight: InFlightRequest
+        self, context: RequestContext, server: BackendServer, in_flight: InFlightRequest
     ) -> ServerResponse:
         def on_events(head: ResponseHead, events: bytes) -> Awaitable[None] | None:
             server.last_activity_s = self._now_s()
             context.note_events(now_s=server.last_activity_s)
-            flight.unread_tokens = 0
-            self._suspects.note_events(context, flight)
-            if not context.exchange.begun:
-                context.exchange.begin(head.status, forwarded_headers(head.headers))
+            in_flight.unread_tokens = 0
+            self._suspects.note_events(context, in_flight)
+            if not context.exchange.response_started:
+                context.exchange.start_response(
+                    head.status, answer_headers(head.headers)
+                )
             return context.exchange.write(events)
 
         event_sequence = context.event_sequence
@@ -249,10 +251,10 @@
             on_notice=lambda notice: self._apply_notice(server, notice),
         )
         self._retry_policy.consume_retry(context)
-        server.in_flight_requests[context.call.request_id] = flight
+        server.in_flight_requests[context.call.request_id] = in_flight
         if server.half_open:
             server.probed_s = self._now_s()
-        self._suspects.start(context, server, flight)
+        self._suspects.start(context, server, in_flight)
         try:
             return await self._ports.attempts.send(
                 context.call,
@@ -277,7 +279,7 @@
                 )
             note_backoff(server, retry_after_s=notice.retry_after_s, now_s=now_s)
         else:
-            note_answer(server, now_s=now_s)
+            note_response(server, now_s=now_s)
         if notice.leaving:
             self._ports.on_leaving(server)
 
@@ -292,7 +294,7 @@
             why=error.message,
             evidence=error.evidence.value,
             tries=len(context.attempt_evidence),
-            moved_ago_s=server.moved_ago_s(self._now_s()),
+            moved_ago_s=server.idle_s(self._now_s()),
             **lost_run_fields(context, server, error),
         )
         if error.withdrawn:
@@ -311,27 +313,29 @@
             # The server no longer holds the model or adapter that it was
             # listed with.
             prompt = context.call.prompt
-            if prompt.adapter and prompt.model in server.held:
-                server.held[prompt.model].discard(prompt.adapter)
+            if prompt.adapter and prompt.model in server.resident_models:
+                server.resident_models[prompt.model].discard(prompt.adapter)
             else:
-                server.held.pop(prompt.model, None)
+                server.resident_models.pop(prompt.model, None)
 
     def _finish(
-        self, context: RequestContext, server: BackendServer, answer: ServerResponse
+        self, context: RequestContext, server: BackendServer, response: ServerResponse
     ) -> None:
-        context.answered_by = server.name
+        context.responded_by = server.name
         exchange = context.exchange
-        if exchange.begun:
+        if exchange.response_started:
             exchange.end()
         else:
-            exchange.answer(
-                answer.head.status, forwarded_headers(answer.head.headers), answer.body
+            exchange.respond(
+                response.head.status,
+                answer_headers(response.head.headers),
+                response.body,
             )
-        self._ports.on_outcome(context, answer.head.status, "")
+        self._ports.on_outcome(context, response.head.status, "")
 
     def _give_up(self, context: RequestContext, error: RefusalError) -> None:
         refusal = error.refusal
-        cut = context.exchange.begun
+        cut = context.exchange.response_started
         if cut:
             context.exchange.abort()
         else:
@@ -399,7 +403,7 @@
     ) -> None:
         body = json.dumps({"error": {"code": code, "message": message}}).encode()
         headers: HTTPHeaders = refusal_headers(request_id, retry_after_s=retry_after_s)
-        exchange.answer(status, headers, body)
+        exchange.respond(status, headers, body)
 
     def _now_s(self) -> float:
         return self._ports.clock.monotonic_s()
--- a/src/rosepath/request_context.py
+++ b/src/rosepath/request_context.py
@@ -99,7 +99,7 @@
     waited_s: float = 0.0
     unread_tokens: int = 0
     predicted_s: float = 0.0
-    answered_by: str = ""
+    responded_by: str = ""
     # Whether a retry is reserved in the budget for the next attempt.
     retry_reserved: bool = False
     # Why it stayed with a silent server at the last check, if it did.
@@ -146,6 +146,6 @@
         idempotent requests of plain services. They do not retry a stream that
         has begun or may have run.
         """
-        if self.exchange.begun:
+        if self.exchange.response_started:
             return True
         return self.event_sequence is not None and not self.not_run
--- a/src/rosepath/retries.py
+++ b/src/rosepath/retries.py
@@ -71,8 +71,8 @@
 class Attempt:
     """Describe a failed attempt, as input to the retry decision.
 
-    `retry_reserved` means that the retry that follows has already been taken
-    from the budget.
+    `retry_reserved` means that the next attempt is already taken from the
+    budget.
     """
 
     evidence: Evidence
--- a/src/rosepath/server_picker.py
+++ b/src/rosepath/server_picker.py
@@ -32,7 +32,8 @@
 QUARANTINED_RETRY_AFTER_S = 60.0
 QUARANTINED_CODE = "crashes_servers"
 # An adapter loads in about 20 ms. A placement lease holder that does not
-# answer within this time may have failed, and its successor is asked.
+# reply within this time may have failed, and the request goes to its
+# successor.
 ADAPTER_WAIT_S = 0.4
 
 _log = get_logger()
@@ -139,7 +140,7 @@
             "request_quarantined",
             request_id=context.call.request_id,
             content=context.content_key,
-            crashed=self._ports.crashes.records.crashed(context.content_key),
+            crashed=self._ports.crashes.records.crashed_servers(context.content_key),
         )
         raise _refused(
             context,
@@ -180,7 +181,9 @@
             server
             for server in self._ports.fleet.of_service(context.service.name)
             if server.usable
-            and (spec is None or prompt is None or prompt.model in server.held)
+            and (
+                spec is None or prompt is None or prompt.model in server.resident_models
+            )
         ]
 
     async def _pick(
@@ -218,11 +221,11 @@
         )
         context.unread_tokens = choice.unread_tokens
         context.predicted_s = choice.first_token_s
-        flight = InFlightRequest(
+        in_flight = InFlightRequest(
             unread_tokens=choice.unread_tokens,
             target=prompt.target,
         )
-        return choice.server, flight
+        return choice.server, in_flight
 
     async def _pick_engine(
         self,
--- a/tests/test_engine_plan.py
+++ b/tests/test_engine_plan.py
@@ -1,4 +1,4 @@
-"""Tests of planned model swaps: the model, the engine and the victims."""
+"""Tests of planned model swaps: the model, the engine and the evictions."""
 
 from dataclasses import replace
 
@@ -38,7 +38,7 @@
         an_engine_view("e1", "m0", "m1"),
         demands={"m0": ModelDemand(0.5, 0), "m2": ModelDemand(0.0, 3)},
     )
-    assert [(swap.model, swap.victims) for swap in swaps] == [("m2", ("m1",))]
+    assert [(swap.model, swap.evicted_models) for swap in swaps] == [("m2", ("m1",))]
 
 
 def test_model_in_use_is_not_unloaded_for_another_replica() -> None:
@@ -209,9 +209,9 @@
     ticks: int,
 ) -> set[str]:
     history = DemandHistory()
-    held = {name for view in engines for name in view.age_s}
+    resident_models = {name for view in engines for name in view.age_s}
     for tick in range(ticks):
-        history.note(demands, held=held, now_s=tick / 10)
+        history.update(demands, resident_models=resident_models, now_s=tick / 10)
         swaps = plan_swaps(
             engines,
             models,
@@ -268,12 +268,12 @@
     history = DemandHistory()
     demands = {"m0": ModelDemand(0.0, 2, requests_per_s=3.0)}
     for now_s in (0.0, 1.0, 2.0):
-        history.note(demands, held=(), now_s=now_s)
+        history.update(demands, resident_models=(), now_s=now_s)
     assert history.unserved_requests == {"m0": 6.0}
-    history.note(demands, held=("m0",), now_s=3.0)
+    history.update(demands, resident_models=("m0",), now_s=3.0)
     assert history.unserved_requests == {}
-    history.note(demands, held=(), now_s=4.0)
-    history.note(demands, held=(), now_s=60.0)
+    history.update(demands, resident_models=(), now_s=4.0)
+    history.update(demands, resident_models=(), now_s=60.0)
     assert history.unserved_requests == {}
 
 
--- a/tests/test_model_arrivals.py
+++ b/tests/test_model_arrivals.py
@@ -28,8 +28,8 @@
 
 def test_request_is_refused_if_its_model_loads_too_late() -> None:
     # A load from the weight store takes 5.8 s and the caller disconnects after
-    # 2 s. Held for 1.7 s and then told to retry in 0.5 s, the caller was
-    # refused again and had used up its only retry.
+    # 2 s. Held for 1.7 s and then refused with a retry after 0.5 s, the caller
+    # was refused again and had used up its only retry.
     choice = choose(15.0)
     assert choice.decision is WaitDecision.REFUSE
     assert 5.0 <= choice.retry_after_s <= 5.0 + RETRY_JITTER_S
@@ -50,9 +50,9 @@
 def test_announced_loads_replace_earlier_ones_and_expire() -> None:
     arrivals = ModelArrivals()
     announced = (ModelArrival("e1", "m0", 4.0), ModelArrival("e2", "m0", 2.0))
-    arrivals.hear(announced, now_s=100.0)
+    arrivals.replace_announced(announced, now_s=100.0)
     assert arrivals.due_s("m0", now_s=100.1) == 102.0
     assert arrivals.due_s("m1", now_s=100.1) is None
     assert arrivals.due_s("m0", now_s=100.2 + ARRIVALS_TTL_S) is None
-    arrivals.hear((), now_s=102.0)
+    arrivals.replace_announced((), now_s=102.0)
     assert arrivals.due_s("m0", now_s=102.0) is None
--- a/tests/test_server_notices.py
+++ b/tests/test_server_notices.py
@@ -40,8 +40,8 @@
 from rosepath.server_notice import NO_NOTICE, ServerNotice
 
 FEW = pytest.param((5, 2.0, 3.0), id="few")
-CROWD = pytest.param((26, 3.0, 4.0), id="crowd")
-sizes = pytest.mark.parametrize("size", [FEW, CROWD])
+LARGE_FLEET = pytest.param((26, 3.0, 4.0), id="crowd")
+sizes = pytest.mark.parametrize("size", [FEW, LARGE_FLEET])
 # Number of random scenarios; set SEEDS in the environment to run more.
 SEEDS = range(int(os.environ.get("SEEDS", "3")))
 # Requests already in flight may still arrive this long after a rejection.
@@ -93,7 +93,7 @@
 
 
 # Guards against an entry that expired in an outage and is restored in its
-# state before the leave overriding the server's own notice.
+# state before the departure overriding the server's own notice.
 @sizes
 def test_a_restored_entry_does_not_override_the_leaving_notice(
     monkeypatch: pytest.MonkeyPatch, size: tuple[int, float, float]
@@ -265,7 +265,7 @@
 def test_leaving_notices_are_read_from_responses_to_orders_and_reports(
     status: int,
 ) -> None:
-    heard: list[tuple[str, ServerNotice]] = []
+    notices: list[tuple[str, ServerNotice]] = []
 
     class Pool:
         async def fetch(self, _: Request) -> tuple[ResponseHead, bytes]:
@@ -273,8 +273,8 @@
             return ResponseHead(status, headers), b"{}"
 
     async def play_calls() -> None:
-        calls = EngineClient(
-            pool=cast(Any, Pool()), on_notice=lambda *told: heard.append(told)
+        calls = EngineCalls(
+            pool=cast(Any, Pool()), on_notice=lambda *notice: notices.append(notice)
         )
         order = Order(
             action=OrderAction.LOAD,
@@ -289,7 +289,7 @@
             await calls.report("e1:1", "e1")
 
     asyncio.run(play_calls())
-    assert heard == [("e1", ServerNotice(leaving=True))] * 2
+    assert notices == [("e1", ServerNotice(leaving=True))] * 2
 
 
 # Guards against attributing a notice to a server whose address another server
