--- a/benchmarks/routing.py
+++ b/benchmarks/routing.py
@@ -141,7 +141,7 @@
     finally:
         held_s = time.monotonic() - started_s
         replica.mean_hold_s += 0.1 * (held_s - replica.mean_hold_s)
-        replica.own_starts.pop(request_id, None)
+        replica.own_start_times.pop(request_id, None)
     return first_s[0] if first_s else None
 
 
--- a/src/rosepath/crash_watch.py
+++ b/src/rosepath/crash_watch.py
@@ -100,7 +100,7 @@
             del self._probes[instance]
         if contact is ProbeResult.REFUSED:
             self.note_crashed(instance)
-        elif contact is Contact.ACCEPTED:
+        elif contact is ProbeResult.ACCEPTED:
             self._drop_lost(instance, until_s=started_s)
 
     def note_crashed(self, instance: ServerInstance) -> None:
--- a/src/rosepath/engine_views.py
+++ b/src/rosepath/engine_views.py
@@ -61,5 +61,5 @@
     """Return how long a swap will take, including the unloads before it."""
     in_use = server.models_in_use
     waits = any(in_use[evicted_model] for evicted_model in swap.evicted_models)
-    load_s = model_load_s(server, spec.models[swap.model])
+    load_s = load_duration_s(server, spec.models[swap.model])
     return load_s + (IN_USE_WAIT_S if waits else 0.0)
--- a/src/rosepath/relay.py
+++ b/src/rosepath/relay.py
@@ -196,7 +196,7 @@
         note_error(server)
         error = AttemptError(
             f"the server answered {response.head.status}",
-            step=Step.ANSWER,
+            step=Step.RESPONSE,
             peer=server.name,
             evidence=Evidence.SENT,
         )
@@ -220,7 +220,7 @@
             self._suspects.note_events(context, in_flight)
             if not context.exchange.response_started:
                 context.exchange.start_response(
-                    head.status, answer_headers(head.headers)
+                    head.status, forwarded_headers(head.headers)
                 )
             return context.exchange.write(events)
 
@@ -328,7 +328,7 @@
         else:
             exchange.respond(
                 response.head.status,
-                answer_headers(response.head.headers),
+                forwarded_headers(response.head.headers),
                 response.body,
             )
         self._ports.on_outcome(context, response.head.status, "")
--- a/src/rosepath/tables.py
+++ b/src/rosepath/tables.py
@@ -55,7 +55,7 @@
     reachable: bool = True
     leaving: bool = False
     draining: bool = False
-    own_starts: dict[str, float] = field(default_factory=dict)
+    own_start_times: dict[str, float] = field(default_factory=dict)
     mean_hold_s: float = 0.5
     suspect_until_s: float = 0.0
     # End of the backoff that the server requested when it rejected a call.
--- a/tests/test_idle_connections.py
+++ b/tests/test_idle_connections.py
@@ -1,7 +1,7 @@
 """Test when an entry VM closes a caller's idle connection.
 
-An idle connection may be closed at any time; one over which a request is coming
-may not, or its caller gets no response to what was sent in time.
+A connection on which a request is arriving must not be closed as idle:
+its caller would get no response.
 """
 
 import asyncio
@@ -25,8 +25,8 @@
         return super().time() + self.offset_s
 
 
-def play(scenario: Callable[[SteppedLoop, Entry], Awaitable[None]]) -> None:
-    async def answers(asked: Asked, writer: asyncio.StreamWriter) -> None:
+def run_scenario(scenario: Callable[[OffsetClockLoop, Entry], Awaitable[None]]) -> None:
+    async def respond(asked: Asked, writer: asyncio.StreamWriter) -> None:
         writer.write(answer(asked, 200, b"whole"))
 
     async def run() -> None:
@@ -47,25 +47,24 @@
         await asyncio.sleep(0)
 
 
-def test_a_request_that_had_arrived_is_read_though_the_idle_time_is_over() -> None:
-    # The loop stood still for a moment, as while a large configuration is taken
-    # in. A request came meanwhile, and the idle time ended after it: the
-    # connection was closed, and its caller got no response.
-    async def scenario(loop: SteppedLoop, node: Entry) -> None:
+def test_a_request_received_before_the_idle_timeout_is_handled() -> None:
+    # While the event loop is blocked, for example by applying a large
+    # configuration, a request arrives and then the idle timeout expires.
+    # If the timer ran first, it would close the connection.
+    async def scenario(loop: OffsetClockLoop, node: Entry) -> None:
         reader, writer = await node.connect()
         await until_idle(node)
         writer.write(request(GET_DRAFT))
         loop.offset_s += IDLE_S + 0.1
         assert (await reader.readline()).startswith(b"HTTP/1.1 200")
 
-    play(scenario)
+    run_scenario(scenario)
 
 
-def test_a_request_whose_head_is_arriving_is_not_taken_for_idle() -> None:
-    # A head may take some seconds to come, and its connection may have been idle
-    # for most of the idle time before: closed at its end, half of a request was
-    # thrown away.
-    async def scenario(loop: SteppedLoop, node: Entry) -> None:
+def test_a_connection_receiving_a_request_head_is_not_idle() -> None:
+    # A head that starts late in the idle timeout may take seconds to arrive.
+    # Closing the connection at the timeout would discard half of a request.
+    async def scenario(loop: OffsetClockLoop, node: Entry) -> None:
         reader, writer = await node.connect()
         await until_idle(node)
         loop.offset_s += IDLE_S - 1.0
@@ -80,25 +79,25 @@
         writer.write(sent[20:])
         assert (await reader.readline()).startswith(b"HTTP/1.1 200")
 
-    play(scenario)
+    run_scenario(scenario)
 
 
-def test_a_connection_on_which_nothing_comes_is_closed() -> None:
-    # The gateway's timer replaces the library's: without it, connections of
-    # callers that disappeared without closing them would stay open.
-    async def scenario(loop: SteppedLoop, node: Entry) -> None:
+def test_an_idle_connection_is_closed_after_the_idle_timeout() -> None:
+    # The gateway's timer replaces the one of the HTTP library. Without it,
+    # connections of callers that vanished would stay open forever.
+    async def scenario(loop: OffsetClockLoop, node: Entry) -> None:
         reader, _ = await node.connect()
         await until_idle(node)
         loop.offset_s += IDLE_S + 0.1
         assert await reader.read() == b""
 
-    play(scenario)
+    run_scenario(scenario)
 
 
-def test_a_connection_that_its_caller_closed_is_forgotten() -> None:
-    # Each connection that was closed between two requests stayed listed as idle:
-    # an entry VM's memory grew with every connection that it ever had.
-    async def scenario(_: SteppedLoop, node: Entry) -> None:
+def test_a_connection_closed_by_its_caller_is_not_listed_as_idle() -> None:
+    # If a connection closed between requests stayed listed as idle, an entry
+    # VM's memory use would grow with every connection.
+    async def scenario(_: OffsetClockLoop, node: Entry) -> None:
         _, writer = await node.connect()
         await until_idle(node)
         writer.close()
@@ -106,4 +105,4 @@
             await asyncio.sleep(0)
         assert not node.gateway.idle
 
-    play(scenario)
+    run_scenario(scenario)
--- a/tests/test_server_notices.py
+++ b/tests/test_server_notices.py
@@ -273,7 +273,7 @@
             return ResponseHead(status, headers), b"{}"
 
     async def play_calls() -> None:
-        calls = EngineCalls(
+        calls = EngineClient(
             pool=cast(Any, Pool()), on_notice=lambda *notice: notices.append(notice)
         )
         order = Order(
