--- a/tests/crashing_servers.py
+++ b/tests/crashing_servers.py
@@ -10,7 +10,7 @@
 from dataclasses import dataclass, field
 from typing import Any, cast
 
-from fleet_world import Exchange, World, check_wanted
+from fleet_world import FleetSimulation, SimulatedExchange, require_still_wanted
 from tornado.httputil import HTTPHeaders
 from virtual_time import now_s
 
@@ -21,11 +21,11 @@
 
 CRASHING_PATH = "/drafts/crashing"
 # From the start of a run to its server's crash, and to the server's next life.
-CRASHES_AFTER_S = 0.05
-BACK_AFTER_S = 3.0
+CRASH_AFTER_S = 0.05
+RESTART_AFTER_S = 3.0
 # What other requests take.
 RUN_S = 0.03
-WAY_S = 0.001
+ONE_WAY_LATENCY_S = 0.001
 
 
 @dataclass(slots=True)
@@ -38,7 +38,7 @@
 
 
 @dataclass(slots=True)
-class CrashingWorld(World):
+class CrashingServersSimulation(FleetSimulation):
     """Add servers that end, and count what crashed them."""
 
     servers: dict[str, Server] = field(default_factory=dict)
@@ -46,24 +46,30 @@
     crashes_s: dict[str, list[float]] = field(default_factory=dict)
     arrivals_s: dict[str, list[float]] = field(default_factory=dict)
     quarantined_unrelated: int = 0
-    lives: int = 100
+    instance_base: int = 100
     statuses: list[tuple[str, int]] = field(default_factory=list)
 
-    def enter(self, name: str, *, state: str = "ready", beat: int = 1) -> None:
-        super(CrashingWorld, self).enter(name, state=state, beat=beat)
+    def write_entry(
+        self, name: str, *, state: str = "ready", sequence: int = 1
+    ) -> None:
+        super(CrashingServersSimulation, self).write_entry(
+            name, state=state, sequence=sequence
+        )
         self.servers.setdefault(self.address_of(name), Server(name))
 
     def address_of(self, name: str) -> str:
         return f"10.9.0.{int(name.rpartition('-')[2]) % 100 + 1}:80"
 
-    async def repeat(self, *, times: int, each_s: float) -> None:
+    async def send_repeatedly(self, *, times: int, each_s: float) -> None:
         """Send the crashing request to one VM after the other, at random."""
         rng = random.Random(3)
         for number in range(times):
-            self.ask_crashing(rng.choice(sorted(self.nodes)), f"again-{number}")
+            self.send_crashing_request(
+                rng.choice(sorted(self.nodes)), f"again-{number}"
+            )
             await asyncio.sleep(each_s)
 
-    def ask_crashing(
+    def send_crashing_request(
         self, vm: str, request_id: str, *, path: str = CRASHING_PATH
     ) -> None:
         """Send a crashing request to a VM."""
@@ -79,7 +85,7 @@
         crashes_s = self.crashes_s.get(path, [])
         if len(crashes_s) < 3:
             return 0
-        known_s = crashes_s[2] + self.contact_s
+        known_s = crashes_s[2] + self.settle_s
         return sum(arrival_s > known_s for arrival_s in self.arrivals_s[path])
 
     def replace_holder(self) -> None:
@@ -87,8 +93,8 @@
         self.holder = self.rng.choice(sorted(self.nodes))
         self.holder_term += 1
 
-    def _add(self, name: str, monkeypatch: Any) -> None:
-        super(CrashingWorld, self)._add(name, monkeypatch)
+    def _build_node(self, name: str, monkeypatch: Any) -> None:
+        super(CrashingServersSimulation, self)._build_node(name, monkeypatch)
         node = self.nodes[name]
         monkeypatch.setattr(node.crashes, "_probe", self._probe)
         node.relay._ports.on_outcome = self._note_outcome
@@ -98,12 +104,12 @@
         self.quarantined_unrelated += unrelated and code == QUARANTINED_CODE
 
     async def _probe(self, address: str, *, limit_s: float) -> Contact:
-        await asyncio.sleep(WAY_S)
+        await asyncio.sleep(ONE_WAY_LATENCY_S)
         return Contact.ACCEPTED if self.servers[address].up else Contact.REFUSED
 
-    def _serve_as(self, name: str) -> Callable[..., Any]:
+    def _backend_exchange(self, name: str) -> Callable[..., Any]:
         async def exchange(request: Request, *, on_head: Any, on_data: Any) -> Any:
-            await asyncio.sleep(WAY_S)
+            await asyncio.sleep(ONE_WAY_LATENCY_S)
             server = self.servers[request.address]
             if not server.up:
                 raise ExchangeError(
@@ -112,18 +118,18 @@
                     peer=request.address,
                     sent=False,
                 )
-            check_wanted(request)
+            require_still_wanted(request)
             if request.headers["Target-Instance"] != server.name:
-                return _answered(on_head, 421)
+                return _send_head(on_head, 421)
             crashes = request.path.startswith(CRASHING_PATH)
             if crashes:
                 self.arrivals_s.setdefault(request.path, []).append(now_s())
                 loop = asyncio.get_running_loop()
-                loop.call_later(CRASHES_AFTER_S, self._crash, request)
+                loop.call_later(CRASH_AFTER_S, self._crash, request)
             else:
-                self.reached(name, server.name)
+                self.note_request(name, server.name)
             await self._run_at(server, request, None if crashes else RUN_S)
-            head = _answered(on_head, 200)
+            head = _send_head(on_head, 200)
             on_data(b"done")
             return head
 
@@ -152,32 +158,34 @@
         server.up = False
         server.crashed.set()
         self.crashes_s.setdefault(request.path, []).append(now_s())
-        asyncio.ensure_future(self._come_back(request.address, server))
+        asyncio.ensure_future(self._restart(request.address, server))
 
-    async def _come_back(self, address: str, server: Server) -> None:
-        await asyncio.sleep(BACK_AFTER_S)
-        self.lives += 100
-        number = self.lives + int(server.name.rpartition("-")[2]) % 100
+    async def _restart(self, address: str, server: Server) -> None:
+        await asyncio.sleep(RESTART_AFTER_S)
+        self.instance_base += 100
+        number = self.instance_base + int(server.name.rpartition("-")[2]) % 100
         self.write(f"servers/{server.name}", None)
         del self.servers[address]
-        self.enter(f"i-{number}")
+        self.write_entry(f"i-{number}")
 
 
-class CrashingExchange(Exchange):
+class CrashingExchange(SimulatedExchange):
     """Be a caller's request that crashes each server that runs it."""
 
-    def __init__(self, request_id: str, world: CrashingWorld, path: str) -> None:
-        super().__init__(request_id, world)
+    def __init__(
+        self, request_id: str, simulation: CrashingServersSimulation, path: str
+    ) -> None:
+        super().__init__(request_id, simulation)
         self.path = path
         self.body = b"the same each time"
         self._id = request_id
-        self._crashing = world
+        self._crashing = simulation
 
     def answer(self, status: int, _: HTTPHeaders, __: bytes) -> None:
         self._crashing.statuses.append((self._id, status))
 
 
-def _answered(on_head: Any, status: int) -> ResponseHead:
+def _send_head(on_head: Any, status: int) -> ResponseHead:
     headers = HTTPHeaders({"Response-Signature": "s"} if status == 200 else {})
     head = ResponseHead(status, headers)
     on_head(head)
--- a/tests/entry_harness.py
+++ b/tests/entry_harness.py
@@ -21,12 +21,12 @@
 from rosepath.request_context import RelayPorts, RequestContext
 from rosepath.retry_window import RetryWindow
 
-Script = Callable[["Asked", asyncio.StreamWriter], Awaitable[None]]
-SIGNED = "Response-Signature: s\r\n"
+Script = Callable[["ReceivedRequest", asyncio.StreamWriter], Awaitable[None]]
+SIGNATURE_HEADER = "Response-Signature: s\r\n"
 
 
 @dataclass(slots=True)
-class Asked:
+class ReceivedRequest:
     """Hold a request as a backend server read it."""
 
     line: str
@@ -39,13 +39,13 @@
 
 
 @dataclass(slots=True)
-class Scripted:
+class ScriptedServer:
     """Hold a backend server: its script, and what it was asked."""
 
     name: str
     script: Script
-    asked: list[Asked] = field(default_factory=list)
-    left: asyncio.Event = field(default_factory=asyncio.Event)
+    requests: list[ReceivedRequest] = field(default_factory=list)
+    disconnected: asyncio.Event = field(default_factory=asyncio.Event)
     address: str = ""
 
     async def serve(
@@ -53,29 +53,31 @@
     ) -> None:
         try:
             while True:
-                asked = await read_request(reader)
-                self.asked.append(asked)
-                await self.script(asked, writer)
+                received = await read_request(reader)
+                self.requests.append(received)
+                await self.script(received, writer)
                 await writer.drain()
         except (asyncio.IncompleteReadError, ConnectionError):
-            self.left.set()
+            self.disconnected.set()
         finally:
             writer.close()
 
 
-async def read_request(reader: asyncio.StreamReader) -> Asked:
+async def read_request(reader: asyncio.StreamReader) -> ReceivedRequest:
     head = (await reader.readuntil(b"\r\n\r\n")).decode()
     line, *rest = head.strip().split("\r\n")
     headers = {
         name.lower(): value.strip()
-        for name, _, value in (entry.partition(":") for entry in rest)
+        for name, _, value in (header.partition(":") for header in rest)
     }
     body = await reader.readexactly(int(headers.get("content-length", "0")))
-    return Asked(line, headers, body)
+    return ReceivedRequest(line, headers, body)
 
 
-def answer(asked: Asked, status: int, body: bytes, extra: str = SIGNED) -> bytes:
-    head = f"HTTP/1.1 {status} X\r\nRequest-Id: {asked.request_id}\r\n{extra}"
+def answer(
+    received: ReceivedRequest, status: int, body: bytes, extra: str = SIGNATURE_HEADER
+) -> bytes:
+    head = f"HTTP/1.1 {status} X\r\nRequest-Id: {received.request_id}\r\n{extra}"
     return f"{head}Content-Length: {len(body)}\r\n\r\n".encode() + body
 
 
@@ -87,12 +89,12 @@
     return b"%x\r\n%b\r\n" % (len(data), data)
 
 
-def stream_head(asked: Asked) -> bytes:
-    head = f"HTTP/1.1 200 OK\r\nRequest-Id: {asked.request_id}\r\n{SIGNED}"
+def stream_head(received: ReceivedRequest) -> bytes:
+    head = f"HTTP/1.1 200 OK\r\nRequest-Id: {received.request_id}\r\n{SIGNATURE_HEADER}"
     return f"{head}Transfer-Encoding: chunked\r\n\r\n".encode()
 
 
-class NoModels:
+class NoModelOrders:
     """Order nothing."""
 
     def note_request_received(self, *_: Any) -> None:
@@ -112,7 +114,7 @@
 
 
 @dataclass(slots=True)
-class Entry:
+class RunningGateway:
     """Hold a gateway that listens, and what became of its requests."""
 
     gateway: Gateway
@@ -128,7 +130,7 @@
         self.listening[name].close()
         await self.listening[name].wait_closed()
 
-    async def until_unreached(self, name: str) -> None:
+    async def wait_connect_failure(self, name: str) -> None:
         """Wait until a connection to a backend server has failed."""
         while self.fleet.servers[name].connect_failed_s < 0:  # noqa: ASYNC110
             await asyncio.sleep(0)
@@ -136,7 +138,7 @@
     async def connect(self) -> tuple[asyncio.StreamReader, asyncio.StreamWriter]:
         return await asyncio.open_connection("127.0.0.1", self.port)
 
-    async def ask(self, head: str, body: bytes = b"") -> bytes:
+    async def send_request(self, head: str, body: bytes = b"") -> bytes:
         """Send one request on its own connection; return all that comes back."""
         reader, writer = await self.connect()
         writer.write(request(head, body, close=True))
@@ -156,13 +158,13 @@
 
 
 @asynccontextmanager
-async def entry(
-    *servers: Scripted,
+async def running_gateway(
+    *servers: ScriptedServer,
     route: HostRoute | None = None,
     slack: float = 50.0,
     configuration: Callable[[], ConfigurationView] = lambda: UNKNOWN_CONFIGURATION,
     on_outcome: Callable[[RequestContext, int, str], None] = lambda *_: None,
-) -> AsyncIterator[Entry]:
+) -> AsyncIterator[RunningGateway]:
     """Run a gateway before some backend servers."""
     clock, fleet, pool = SystemClock(), Fleet(), HttpPool()
     chosen = route or a_route()
@@ -176,7 +178,7 @@
         service = chosen.shares[0].service
         fleet.put(an_entry(server.name, service=service, address=server.address))
     window = RetryWindow(clock=clock, ratio=0.2, slack=slack, window_s=10.0)
-    made: list[Entry] = []
+    made: list[RunningGateway] = []
 
     def note_outcome(context: RequestContext, status: int, code: str) -> None:
         made[0].outcomes.append((status, code))
@@ -194,7 +196,7 @@
             attempts=AttemptSender(pool, clock=clock),
             catalog=lambda: catalog,
             budget=lambda _: window,
-            models=NoModels(),
+            models=NoModelOrders(),
             fleet_changed=asyncio.Condition(),
             cut_off=set,
             wait_limit_s=lambda: made[0].wait_limit_s,
@@ -206,7 +208,9 @@
     gateway = Gateway(relay.serve, clock=clock, on_failure=on_failure)
     gateway.server.listen(0, address="127.0.0.1")
     port = next(iter(gateway.server._sockets.values())).getsockname()[1]
-    made.append(Entry(gateway, port, catalog, fleet=fleet, listening=listening))
+    made.append(
+        RunningGateway(gateway, port, catalog, fleet=fleet, listening=listening)
+    )
     try:
         yield made[0]
     finally:
--- a/tests/fakes.py
+++ b/tests/fakes.py
@@ -97,14 +97,14 @@
     orders: dict[str, str] = field(default_factory=dict)
     fence: int = 0
     alive: bool = True
-    late: list[Order] = field(default_factory=list)
+    delayed: list[Order] = field(default_factory=list)
     fault: str = ""
 
     @property
     def used_bytes(self) -> int:
         return sum(self.resident.values()) + sum(self.loading.values())
 
-    def land(self, order: Order) -> bool:
+    def execute(self, order: Order) -> bool:
         """Carry an order out, as far as a real engine would."""
         if order.order_id in self.orders:
             return True
@@ -122,11 +122,11 @@
                     del self.resident[target]
         return True
 
-    def land_late(self) -> None:
+    def execute_delayed(self) -> None:
         """Let every order that was held back land."""
-        late, self.late = self.late, []
-        for order in late:
-            self.land(order)
+        delayed, self.delayed = self.delayed, []
+        for order in delayed:
+            self.execute(order)
 
     def finish_loading(self) -> None:
         """End every load under way."""
@@ -168,11 +168,11 @@
         if not engine.alive or fault == "lose":
             raise self._failure(address)
         if fault == "late":
-            engine.late.append(order)
+            engine.delayed.append(order)
             raise self._failure(address)
         if fault == "double":
-            engine.late.append(order)
-        if not engine.land(order):
+            engine.delayed.append(order)
+        if not engine.execute(order):
             raise StaleFenceError("old", step=Step.SEND, peer=address)
 
     async def cancel(self, address: str, request_id: str) -> None:
--- a/tests/fleet_world.py
+++ b/tests/fleet_world.py
@@ -15,7 +15,7 @@
 
 import pytest
 from entry_builders import a_catalog, a_route, entry_settings
-from store_view import WAY_S, View
+from store_view import ONE_WAY_LATENCY_S, SimulatedStore
 from tornado.httputil import HTTPHeaders
 from virtual_time import LoopClock, VirtualLoop, now_s
 
@@ -30,9 +30,9 @@
 )
 
 SERVICE = "desk"
-RENEWED_EACH_S = 0.6
-BEAT_S = 0.2
-ASKED_EACH_S = 0.08
+LEASE_RENEWAL_INTERVAL_S = 0.6
+ENTRY_WRITE_INTERVAL_S = 0.2
+REQUEST_INTERVAL_S = 0.08
 
 
 def _address(vm: str) -> str:
@@ -40,13 +40,13 @@
 
 
 @dataclass(slots=True)
-class World:
+class FleetSimulation:
     """Hold the store, the wire, the VMs, and what reached which server when."""
 
     drain_s: float = 2.0
     # A VM that was cut from the store, or whose connections went silent, is
     # held to the drain time again so long after.
-    contact_s: float = 3.0
+    settle_s: float = 3.0
     data_centres: int = 1
     # Datagrams sent by each VM.
     sent: Counter[str] = field(default_factory=Counter)
@@ -54,18 +54,18 @@
     revision: int = 0
     objects: dict[str, StoredObject] = field(default_factory=dict)
     events: list[tuple[int, str, StoredObject | None]] = field(default_factory=list)
-    written_s: dict[int, float] = field(default_factory=dict)
-    floor: int = 0
+    written_at_s: dict[int, float] = field(default_factory=dict)
+    compacted_revision: int = 0
     # Watches are told nothing of changes while it is deaf.
-    deaf: bool = False
+    changes_suppressed: bool = False
     # The store answers nobody, or not these VMs; silently or at once.
     down: bool = False
     # While it fails all of them, nobody is held to anything.
-    unwell: bool = False
-    turned_away: set[str] = field(default_factory=set)
-    dead: set[str] = field(default_factory=set)
+    outage: bool = False
+    blocked: set[str] = field(default_factory=set)
+    killed: set[str] = field(default_factory=set)
     # Connections of watches that were waiting then are silent for good.
-    silenced_s: dict[str, float] = field(default_factory=dict)
+    stalled_at_s: dict[str, float] = field(default_factory=dict)
     # The rate of a VM's link to the store; without one answers take no time.
     bytes_per_s: dict[str, float] = field(default_factory=dict)
     # What each VM was sent of objects by the store.
@@ -77,12 +77,12 @@
     tasks: list[asyncio.Task[Any]] = field(default_factory=list)
     holder: str = ""
     holder_term: int = 1
-    left_s: dict[str, float] = field(default_factory=dict)
-    harmed_s: dict[str, float] = field(default_factory=dict)
-    late_s: list[tuple[float, str, str]] = field(default_factory=list)
+    departed_at_s: dict[str, float] = field(default_factory=dict)
+    disrupted_at_s: dict[str, float] = field(default_factory=dict)
+    late_sends: list[tuple[float, str, str]] = field(default_factory=list)
     answered: int = 0
     refused: int = 0
-    connect_s: float = 0.0
+    connect_delay_s: float = 0.0
 
     # The store
 
@@ -95,7 +95,7 @@
         else:
             stored = self.objects[name] = StoredObject(name, self.revision, value)
         self.events.append((self.revision, name, stored))
-        self.written_s[self.revision] = now_s()
+        self.written_at_s[self.revision] = now_s()
         self.wake()
 
     def wake(self) -> None:
@@ -105,55 +105,55 @@
         async with self.changed:
             self.changed.notify_all()
 
-    def cut_watches(self, *, forget: bool = False) -> None:
+    def cut_watches(self, *, compact: bool = False) -> None:
         """Cut every watch that waits, and drop the history if told so."""
         self.cuts += 1
-        if forget:
-            self.floor = self.revision
+        if compact:
+            self.compacted_revision = self.revision
         self.wake()
 
-    async def forget_history(self) -> None:
+    async def compact_history(self) -> None:
         """Tell watches nothing for a second, then drop the history and cut them."""
-        self.deaf = self.unwell = True
+        self.changes_suppressed = self.outage = True
         await asyncio.sleep(1.0)
-        self.deaf = self.unwell = False
-        self._harm(self.nodes)
-        self.cut_watches(forget=True)
+        self.changes_suppressed = self.outage = False
+        self._note_disruption(self.nodes)
+        self.cut_watches(compact=True)
 
-    async def go_down(self, *, for_s: float, lapse: list[str]) -> None:
+    async def fail_store(self, *, for_s: float, expiring: list[str]) -> None:
         """Answer nobody for a while; some servers' entries lapse and come back."""
-        self.down = self.unwell = True
+        self.down = self.outage = True
         self.wake()
         await asyncio.sleep(for_s)
-        for name in lapse:
+        for name in expiring:
             self.write(f"servers/{name}", None)
-        self.down = self.unwell = False
-        self._harm(self.nodes)
+        self.down = self.outage = False
+        self._note_disruption(self.nodes)
         await asyncio.sleep(self.rng.uniform(0.2, 1.8))
-        for name in lapse:
-            self.enter(name)
+        for name in expiring:
+            self.write_entry(name)
 
-    def _harm(self, vms: Iterable[str]) -> None:
+    def _note_disruption(self, vms: Iterable[str]) -> None:
         """Hold VMs to nothing for a while; those turned away, until taken back."""
-        harmed = set(vms) - self.turned_away
-        self.harmed_s.update(dict.fromkeys(harmed, now_s()))
+        harmed = set(vms) - self.blocked
+        self.disrupted_at_s.update(dict.fromkeys(harmed, now_s()))
 
-    def turn_away(self, *vms: str) -> None:
+    def block(self, *vms: str) -> None:
         """Answer some VMs no more."""
-        self.turned_away.update(vms)
-        self.harmed_s.update(dict.fromkeys(vms, math.inf))
+        self.blocked.update(vms)
+        self.disrupted_at_s.update(dict.fromkeys(vms, math.inf))
         self.wake()
 
-    def take_back(self, *, but: Sequence[str] = ()) -> None:
+    def unblock(self, *, excluded: Sequence[str] = ()) -> None:
         """Answer all VMs again, but for those that are dead."""
-        back = self.turned_away.difference(but)
-        self.turned_away -= back
-        self._harm(back)
+        back = self.blocked.difference(excluded)
+        self.blocked -= back
+        self._note_disruption(back)
 
-    def silence(self, *vms: str) -> None:
+    def stall_watches(self, *vms: str) -> None:
         """Let the connections of VMs that wait go silent for good."""
-        self.silenced_s.update(dict.fromkeys(vms, now_s()))
-        self._harm(vms)
+        self.stalled_at_s.update(dict.fromkeys(vms, now_s()))
+        self._note_disruption(vms)
 
     # The configuration
 
@@ -182,7 +182,7 @@
         }
         self.write("config/main", json.dumps(raw).encode())
 
-    def without(self, version: int) -> list[str]:
+    def vms_without_version(self, version: int) -> list[str]:
         """Return the VMs where a version is not in force."""
         return [
             name
@@ -192,17 +192,19 @@
 
     # Servers
 
-    async def keep_busy(self, names: list[str]) -> None:
+    async def keep_writing_entries(self, names: list[str]) -> None:
         """Change some servers' entries all the time."""
         while True:
-            await asyncio.sleep(BEAT_S)
-            self.enter(self.rng.choice(names))
+            await asyncio.sleep(ENTRY_WRITE_INTERVAL_S)
+            self.write_entry(self.rng.choice(names))
 
     def address_of(self, name: str) -> str:
         """Return where a server listens."""
         return f"10.9.0.{int(name.rpartition('-')[2]) + 1}:80"
 
-    def enter(self, name: str, *, state: str = "ready", beat: int = 1) -> None:
+    def write_entry(
+        self, name: str, *, state: str = "ready", sequence: int = 1
+    ) -> None:
         """Write a server's entry."""
         raw = {
             "service": SERVICE,
@@ -211,27 +213,27 @@
             "version": "v1",
             "slots": 6,
             "state": state,
-            "sequence": beat,
+            "sequence": sequence,
             "born": 100,
         }
         self.write(f"servers/{name}", json.dumps(raw).encode())
 
-    def leave(self, name: str, *, says_so: bool = False) -> None:
+    def start_departure(self, name: str, *, announced: bool = False) -> None:
         """Let a server leave: it says so, or its entry is removed."""
-        self.left_s.setdefault(name, now_s())
-        if says_so:
-            self.enter(name, state="draining")
+        self.departed_at_s.setdefault(name, now_s())
+        if announced:
+            self.write_entry(name, state="draining")
         else:
             self.write(f"servers/{name}", None)
 
-    def reached(self, vm: str, server: str) -> None:
+    def note_request(self, vm: str, server: str) -> None:
         self.answered += 1
-        left_s = self.left_s.get(server)
-        in_time = left_s is None or now_s() - left_s <= self.drain_s
-        if left_s is None or in_time or self.unwell:
+        departed_at_s = self.departed_at_s.get(server)
+        in_time = departed_at_s is None or now_s() - departed_at_s <= self.drain_s
+        if departed_at_s is None or in_time or self.outage:
             return
-        if now_s() - self.harmed_s.get(vm, -1e9) > self.contact_s:
-            self.late_s.append((round(now_s() - left_s, 3), vm, server))
+        if now_s() - self.disrupted_at_s.get(vm, -1e9) > self.settle_s:
+            self.late_sends.append((round(now_s() - departed_at_s, 3), vm, server))
 
     # VMs
 
@@ -244,23 +246,23 @@
         if hasattr(entry_node, "BootClock"):
             monkeypatch.setattr(entry_node, "BootClock", LoopClock)
         for number in range(servers):
-            self.enter(f"i-{number}")
+            self.write_entry(f"i-{number}")
         names = [f"vm-{number}" for number in range(vms)]
         self.holder = names[0]
         for name in names:
-            self._add(name, monkeypatch)
+            self._build_node(name, monkeypatch)
         for name in names:
-            self._begin(name)
+            self._connect_and_run(name)
 
-    def _add(self, name: str, monkeypatch: pytest.MonkeyPatch) -> None:
+    def _build_node(self, name: str, monkeypatch: pytest.MonkeyPatch) -> None:
         monkeypatch.setattr(
-            entry_node, "PlatformStore", lambda *_, **__: View(self, name)
+            entry_node, "PlatformStore", lambda *_, **__: SimulatedStore(self, name)
         )
         number = int(name.rpartition("-")[2]) % self.data_centres
         settings = entry_settings(name, data_centre="abcdef"[number]).model_copy(
             update={
                 "drain_ms": self.drain_s * 1000,
-                "settle_ms": self.contact_s * 1000,
+                "settle_ms": self.settle_s * 1000,
             }
         )
         node = self.nodes[name] = EntryNode(settings)
@@ -274,20 +276,20 @@
         monkeypatch.setattr(
             leases, "holder", lambda _: name if self.holder == name else ""
         )
-        monkeypatch.setattr(node.pool, "exchange", self._serve_as(name))
-        node.copies.fetch = self._copy_as(name)
+        monkeypatch.setattr(node.pool, "exchange", self._backend_exchange(name))
+        node.copies.fetch = self._configuration_fetch(name)
         node.copies._rng = self.rng
         node.relay._ports.on_outcome = lambda *_: None
         node.relay._ports.rng = self.rng
 
-    def _begin(self, name: str) -> None:
+    def _connect_and_run(self, name: str) -> None:
         """Let a VM know the others, and run."""
         node = self.nodes[name]
         for other in self.nodes:
             node.peers.note_address(other, _address(other))
         link = node.exchange.link
         link._rng = self.rng
-        link.connection_made(cast(Any, Wire(self, name)))
+        link.connection_made(cast(Any, SimulatedTransport(self, name)))
         self._run(name)
 
     def _run(self, name: str) -> None:
@@ -299,38 +301,38 @@
             node.copies.run,
         ):
             self.tasks.append(asyncio.create_task(work(), name=name))
-        self.tasks.append(asyncio.create_task(self._stay_awake(name), name=name))
-        self.tasks.append(asyncio.create_task(self._renew(name), name=name))
-        self.tasks.append(asyncio.create_task(self._ask(name), name=name))
+        self.tasks.append(asyncio.create_task(self._note_loop_running(name), name=name))
+        self.tasks.append(asyncio.create_task(self._renew_lease(name), name=name))
+        self.tasks.append(asyncio.create_task(self._send_requests(name), name=name))
 
     def kill(self, name: str) -> None:
         """Let a VM fall silent for good."""
         for task in self.tasks:
             if task.get_name() == name:
                 task.cancel()
-        self.dead.add(name)
-        self.turn_away(name)
+        self.killed.add(name)
+        self.block(name)
         if self.holder == name:
             self.holder = ""
 
-    def start_again(self, name: str, monkeypatch: pytest.MonkeyPatch) -> None:
+    def restart(self, name: str, monkeypatch: pytest.MonkeyPatch) -> None:
         """Start a killed VM, which knows nothing of before."""
-        self._add(name, monkeypatch)
-        self._begin(name)
-        self.turned_away.discard(name)
-        self._harm([name])
+        self._build_node(name, monkeypatch)
+        self._connect_and_run(name)
+        self.blocked.discard(name)
+        self._note_disruption([name])
 
     async def close(self) -> None:
         for task in self.tasks:
             task.cancel()
         await asyncio.gather(*self.tasks, return_exceptions=True)
 
-    async def _stay_awake(self, name: str) -> None:
+    async def _note_loop_running(self, name: str) -> None:
         while True:
             self.nodes[name].exchange.link.note_running()
             await asyncio.sleep(LEASE_TICK_S)
 
-    async def _renew(self, name: str) -> None:
+    async def _renew_lease(self, name: str) -> None:
         # The holder's lease; its calls succeed or fail apart from its watches.
         while True:
             if self.holder == name:
@@ -338,23 +340,23 @@
                     await self.nodes[name].store.get("leases/placement")
                 except StoreError:
                     pass
-            await asyncio.sleep(RENEWED_EACH_S)
+            await asyncio.sleep(LEASE_RENEWAL_INTERVAL_S)
 
-    async def _ask(self, name: str) -> None:
+    async def _send_requests(self, name: str) -> None:
         """Send a request of a caller's every few milliseconds."""
         await asyncio.sleep(1.0)
         number = 0
         while True:
             number += 1
-            exchange = Exchange(f"{name}-{number}", self)
+            exchange = SimulatedExchange(f"{name}-{number}", self)
             asyncio.ensure_future(self.nodes[name].relay.serve(cast(Any, exchange)))
-            await asyncio.sleep(ASKED_EACH_S)
+            await asyncio.sleep(REQUEST_INTERVAL_S)
 
-    def _copy_as(self, name: str) -> Callable[..., Any]:
+    def _configuration_fetch(self, name: str) -> Callable[..., Any]:
         async def fetch(address: str, newer_than: int) -> StoredObject | None:
             other = self.nodes[f"vm-{int(address.rpartition(':')[2]) - 1}"]
-            await asyncio.sleep(2 * WAY_S)
-            if other.settings.entry_vm in self.dead:
+            await asyncio.sleep(2 * ONE_WAY_LATENCY_S)
+            if other.settings.entry_vm in self.killed:
                 raise ExchangeError(
                     "cannot connect", step=Step.CONNECT, peer=address, sent=False
                 )
@@ -363,12 +365,14 @@
 
         return fetch
 
-    def _serve_as(self, name: str) -> Callable[..., Any]:
+    def _backend_exchange(self, name: str) -> Callable[..., Any]:
         async def exchange(request: Request, *, on_head: Any, on_data: Any) -> Any:
-            if self.connect_s:
-                await asyncio.sleep(min(self.connect_s, request.connect_timeout_s))
-            check_wanted(request)
-            self.reached(name, request.headers["Target-Instance"])
+            if self.connect_delay_s:
+                await asyncio.sleep(
+                    min(self.connect_delay_s, request.connect_timeout_s)
+                )
+            require_still_wanted(request)
+            self.note_request(name, request.headers["Target-Instance"])
             headers = HTTPHeaders({"Response-Signature": "s"})
             head = ResponseHead(200, headers)
             on_head(head)
@@ -379,42 +383,42 @@
 
 
 @dataclass(slots=True)
-class Wire:
+class SimulatedTransport:
     """Carry a VM's datagrams."""
 
-    world: World
+    simulation: FleetSimulation
     vm: str
 
     def sendto(self, data: bytes, address: tuple[str, int]) -> None:
-        self.world.sent[self.vm] += 1
-        node = self.world.nodes.get(f"vm-{address[1] - 1}")
-        if node is None or self.world.rng.random() < self.world.lost_share:
+        self.simulation.sent[self.vm] += 1
+        node = self.simulation.nodes.get(f"vm-{address[1] - 1}")
+        if node is None or self.simulation.rng.random() < self.simulation.lost_share:
             return
         asyncio.get_running_loop().call_later(
-            WAY_S, node.exchange.link.datagram_received, data, ("", 0)
+            ONE_WAY_LATENCY_S, node.exchange.link.datagram_received, data, ("", 0)
         )
 
     def is_closing(self) -> bool:
         return False
 
 
-class Exchange:
+class SimulatedExchange:
     """Be one caller's request."""
 
-    def __init__(self, request_id: str, world: World) -> None:
+    def __init__(self, request_id: str, simulation: FleetSimulation) -> None:
         self.method, self.path = "POST", "/drafts/1"
         self.headers = HTTPHeaders({"Host": "court.example", "Request-Id": request_id})
         self.body = b""
         self.arrived_s = now_s()
         self.begun = False
-        self._world = world
+        self._world = simulation
 
     def answer(self, status: int, _: HTTPHeaders, __: bytes) -> None:
         if status != 200:
             self._world.refused += 1
 
 
-def check_wanted(request: Request) -> None:
+def require_still_wanted(request: Request) -> None:
     """Send nothing that is no longer wanted once its connection is there."""
     if not request.still_wanted():
         raise ExchangeError(
@@ -426,7 +430,7 @@
         )
 
 
-def play(work: Callable[[], Any]) -> None:
+def run_in_virtual_time(work: Callable[[], Any]) -> None:
     """Run a coroutine function in virtual time."""
     random.seed(7)
     with asyncio.Runner(loop_factory=VirtualLoop) as runner:
--- a/tests/outspoken_servers.py
+++ b/tests/outspoken_servers.py
@@ -5,7 +5,7 @@
 from dataclasses import dataclass, field
 from typing import Any
 
-from fleet_world import World, check_wanted
+from fleet_world import FleetSimulation, require_still_wanted
 from tornado.httputil import HTTPHeaders
 from virtual_time import now_s
 
@@ -13,30 +13,30 @@
 
 
 @dataclass(slots=True)
-class OutspokenWorld(World):
+class DepartureNoticeSimulation(FleetSimulation):
     """Let servers say that they leave, and note who was told when."""
 
-    leaving: set[str] = field(default_factory=set)
-    told_s: dict[tuple[str, str], float] = field(default_factory=dict)
+    departing: set[str] = field(default_factory=set)
+    notified_at_s: dict[tuple[str, str], float] = field(default_factory=dict)
     # How long after a VM was told a request of it reached the server.
-    late_after_s: list[float] = field(default_factory=list)
+    late_by_s: list[float] = field(default_factory=list)
 
-    def say_leaving(self, name: str) -> None:
+    def announce_departure(self, name: str) -> None:
         """Let a server say in its answers that it leaves; its entry does not."""
-        self.leaving.add(name)
+        self.departing.add(name)
 
-    def _serve_as(self, name: str) -> Callable[..., Any]:
+    def _backend_exchange(self, name: str) -> Callable[..., Any]:
         async def exchange(request: Request, *, on_head: Any, on_data: Any) -> Any:
             await asyncio.sleep(0.001)
-            check_wanted(request)
+            require_still_wanted(request)
             server = request.headers["Target-Instance"]
-            self.reached(name, server)
+            self.note_request(name, server)
             headers = HTTPHeaders({"Response-Signature": "s"})
-            if server in self.leaving:
+            if server in self.departing:
                 headers["Server-Leaving"] = "1"
-                told_s = self.told_s.setdefault((name, server), now_s())
-                if now_s() - told_s > self.drain_s:
-                    self.late_after_s.append(round(now_s() - told_s, 3))
+                notified_at_s = self.notified_at_s.setdefault((name, server), now_s())
+                if now_s() - notified_at_s > self.drain_s:
+                    self.late_by_s.append(round(now_s() - notified_at_s, 3))
             head = ResponseHead(200, headers)
             on_head(head)
             on_data(b"done")
--- a/tests/store_view.py
+++ b/tests/store_view.py
@@ -20,22 +20,22 @@
 )
 
 if TYPE_CHECKING:
-    from fleet_world import World
+    pass
 
 # The way to the store or to another VM.
-WAY_S = 0.004
-CALL_LIMIT_S = 0.5
+ONE_WAY_LATENCY_S = 0.004
+CALL_TIMEOUT_S = 0.5
 # A read without an answer is left to run for so long.
-READ_PATIENCE_S = 4.0
+READ_INACTIVITY_TIMEOUT_S = 4.0
 # How much later relaxed watches are told of a change.
-RELAXED_LATE_S = 3.0
+RELAXED_WATCH_DELAY_S = 3.0
 
 
 @dataclass(slots=True)
-class View:
+class SimulatedStore:
     """Speak the store's port for one VM."""
 
-    world: "World"
+    simulation: "FleetSimulation"
     vm: str
     last_success_s: float = -1e9
     calls: Counter[str] = field(default_factory=Counter)
@@ -49,16 +49,16 @@
         fresh: bool = False,
         on_response_start: Callable[[], None] = ignore_response_start,
     ) -> Listing:
-        await self._call("list", limit_s=READ_PATIENCE_S)
+        await self._call("list", limit_s=READ_INACTIVITY_TIMEOUT_S)
         objects = {
             name: stored
-            for name, stored in self.world.objects.items()
+            for name, stored in self.simulation.objects.items()
             if name.startswith(f"{kind}/")
         }
-        listing = Listing(revision=self.world.revision, objects=objects)
+        listing = Listing(revision=self.simulation.revision, objects=objects)
         on_response_start()
         await self._receive(objects)
-        return self._answered(listing)
+        return self._succeeded(listing)
 
     async def changes(
         self,
@@ -73,9 +73,9 @@
         if self.connected_s < 0:
             self.connected_s = now_s()
         connected_s, self.connected_s = self.connected_s, -1.0
-        late_s = RELAXED_LATE_S if relaxed else 0.0
+        delay_s = RELAXED_WATCH_DELAY_S if relaxed else 0.0
         change = await self._changes(
-            kind, after, wait_s, connected_s, late_s, on_response_start
+            kind, after, wait_s, connected_s, delay_s, on_response_start
         )
         self.connected_s = connected_s
         return change
@@ -86,64 +86,64 @@
         after: int,
         wait_s: float,
         connected_s: float,
-        late_s: float,
+        delay_s: float,
         on_response_start: Callable[[], None],
     ) -> Change:
-        what = "relaxed_watch" if late_s else "watch"
-        await self._call(what, limit_s=wait_s + READ_PATIENCE_S)
-        world, cuts, begun_s = self.world, self.world.cuts, now_s()
-        gone = after < world.floor
+        what = "relaxed_watch" if delay_s else "watch"
+        await self._call(what, limit_s=wait_s + READ_INACTIVITY_TIMEOUT_S)
+        simulation, cuts, begun_s = self.simulation, self.simulation.cuts, now_s()
+        gone = after < simulation.compacted_revision
         until_s = begun_s + wait_s
         while True:
-            if connected_s < world.silenced_s.get(self.vm, -1e9) <= now_s():
-                await asyncio.sleep(until_s + READ_PATIENCE_S - now_s())
+            if connected_s < simulation.stalled_at_s.get(self.vm, -1e9) <= now_s():
+                await asyncio.sleep(until_s + READ_INACTIVITY_TIMEOUT_S - now_s())
                 raise StoreError("no answer in time", step=Step.STORE)
-            if world.cuts != cuts or self._away:
+            if simulation.cuts != cuts or self._unreachable:
                 raise StoreError("answer closed early", step=Step.STORE)
-            change = self._change(kind, after, before_s=now_s() - late_s)
+            change = self._change(kind, after, before_s=now_s() - delay_s)
             if change.written or change.removed:
                 if gone:
                     raise HistoryGoneError(kind, step=Step.STORE)
-                await asyncio.sleep(WAY_S)
+                await asyncio.sleep(ONE_WAY_LATENCY_S)
                 on_response_start()
                 await self._receive(change.written)
-                return self._answered(change)
-            left_s = until_s - now_s()
-            if left_s <= 0:
-                return self._answered(change)
+                return self._succeeded(change)
+            remaining_s = until_s - now_s()
+            if remaining_s <= 0:
+                return self._succeeded(change)
             # Nobody wakes a watch for what it may be told of by now.
-            await self._wait(min(left_s, late_s / 4 or left_s))
+            await self._wait(min(remaining_s, delay_s / 4 or remaining_s))
 
     async def get(self, name: str) -> StoredObject | None:
         await self._call("get")
-        return self._answered(self.world.objects.get(name))
+        return self._succeeded(self.simulation.objects.get(name))
 
     def close(self) -> None:
         pass
 
     @property
-    def _away(self) -> bool:
-        return self.world.down or self.vm in self.world.turned_away
+    def _unreachable(self) -> bool:
+        return self.simulation.down or self.vm in self.simulation.blocked
 
-    async def _call(self, what: str, *, limit_s: float = CALL_LIMIT_S) -> None:
+    async def _call(self, what: str, *, limit_s: float = CALL_TIMEOUT_S) -> None:
         self.calls[what] += 1
-        if self._away:
+        if self._unreachable:
             await asyncio.sleep(limit_s)
             raise StoreError("no answer in time", step=Step.STORE)
-        await asyncio.sleep(WAY_S)
+        await asyncio.sleep(ONE_WAY_LATENCY_S)
 
     async def _receive(self, objects: Mapping[str, StoredObject]) -> None:
         """Take as long as the objects need on this VM's link to the store."""
         size = sum(len(stored.value) for stored in objects.values())
-        self.world.received_bytes[self.vm] += size
-        until_s = now_s() + size / self.world.bytes_per_s.get(self.vm, math.inf)
-        cuts = self.world.cuts
-        while (left_s := until_s - now_s()) > 0:
-            await self._wait(left_s)
-            if self.world.cuts != cuts or self._away:
+        self.simulation.received_bytes[self.vm] += size
+        until_s = now_s() + size / self.simulation.bytes_per_s.get(self.vm, math.inf)
+        cuts = self.simulation.cuts
+        while (remaining_s := until_s - now_s()) > 0:
+            await self._wait(remaining_s)
+            if self.simulation.cuts != cuts or self._unreachable:
                 raise StoreError("answer closed early", step=Step.STORE)
 
-    def _answered(self, answer: Any) -> Any:
+    def _succeeded(self, answer: Any) -> Any:
         self.last_success_s = now_s()
         return answer
 
@@ -151,10 +151,12 @@
         written: dict[str, StoredObject] = {}
         removed: set[str] = set()
         # What was written before the history went is not told of any more.
-        seen = max(after, self.world.floor)
+        seen = max(after, self.simulation.compacted_revision)
         told = after
-        for revision, name, stored in self.world.events if not self.world.deaf else ():
-            if self.world.written_s[revision] > before_s:
+        for revision, name, stored in (
+            self.simulation.events if not self.simulation.changes_suppressed else ()
+        ):
+            if self.simulation.written_at_s[revision] > before_s:
                 break
             told = max(told, revision)
             if revision <= seen or not name.startswith(f"{kind}/"):
@@ -165,14 +167,14 @@
                 removed.add(name)
             else:
                 written[name] = stored
-        if self.world.deaf:
-            told = self.world.revision
+        if self.simulation.changes_suppressed:
+            told = self.simulation.revision
         return Change(revision=told, written=written, removed=frozenset(removed))
 
     async def _wait(self, limit_s: float) -> None:
-        async with self.world.changed:
+        async with self.simulation.changed:
             try:
                 async with asyncio.timeout(limit_s):
-                    await self.world.changed.wait()
+                    await self.simulation.changed.wait()
             except TimeoutError:
                 return
--- a/tests/store_wire.py
+++ b/tests/store_wire.py
@@ -11,7 +11,7 @@
 from rosepath.platform.store import PlatformStore, StoreAccess
 
 CALL_TIMEOUT_S = 0.5
-READ_PATIENCE_S = 4.0
+READ_INACTIVITY_TIMEOUT_S = 4.0
 
 # When each piece of an answer arrives, counted from when it was asked for.
 Pieces = Sequence[tuple[float, bytes]]
@@ -84,18 +84,18 @@
     access = StoreAccess(
         address="10.0.0.9:80",
         call_timeout_s=CALL_TIMEOUT_S,
-        read_patience_s=READ_PATIENCE_S,
+        read_patience_s=READ_INACTIVITY_TIMEOUT_S,
     )
     return PlatformStore(access, clock=LoopClock())
 
 
-def play(script: Script, work: Callable[[], Any]) -> None:
+def run_in_virtual_time(script: Script, work: Callable[[], Any]) -> None:
     """Run a coroutine function in virtual time before a scripted store."""
     with asyncio.Runner(loop_factory=lambda: WireLoop(script)) as runner:
         runner.run(work())
 
 
-def answer(raw: Any, *, status: int = 200) -> bytes:
+def response_bytes(raw: Any, *, status: int = 200) -> bytes:
     """Return an answer as it crosses the wire."""
     body = json.dumps(raw).encode()
     head = f"HTTP/1.1 {status} X\r\nContent-Length: {len(body)}\r\n\r\n"
@@ -117,18 +117,18 @@
     return {"metadata": {"name": "main", "revision": revision}, "spec": spec}
 
 
-def a_listing(revision: int) -> dict[str, Any]:
+def a_list_response(revision: int) -> dict[str, Any]:
     """Return the whole of the configuration's kind."""
     return {"items": [a_configuration(revision)], "atRevision": revision}
 
 
-def a_change(revision: int) -> dict[str, Any]:
+def a_watch_response(revision: int) -> dict[str, Any]:
     """Return the answer to a watch that tells of a new configuration."""
     event = {"object": a_configuration(revision)}
     return {"events": [event], "atRevision": revision}
 
 
-def no_change(revision: int) -> dict[str, Any]:
+def an_empty_watch_response(revision: int) -> dict[str, Any]:
     """Return the answer to a watch whose wait ended."""
     return {"events": [], "atRevision": revision}
 
@@ -140,21 +140,26 @@
         self.slow_s = slow_s
         self.revision = revision
         # From when on the revision after this one is there.
-        self.changes_s = float("inf")
-        self.asked: list[str] = []
+        self.changes_at_s = float("inf")
+        self.requested_paths: list[str] = []
 
     def __call__(self, path: str) -> Pieces:
         asked_s = now_s()
-        self.asked.append(path)
+        self.requested_paths.append(path)
         query = parse_qs(urlsplit(path).query)
-        newest = self.revision + (asked_s >= self.changes_s)
+        newest = self.revision + (asked_s >= self.changes_at_s)
         if "watch" not in query:
-            return [(self.slow_s, answer(a_listing(newest)))]
+            return [(self.slow_s, response_bytes(a_list_response(newest)))]
         after = int(query["watch"][0])
         until_s = asked_s + int(query["waitMs"][0]) / 1000
         if newest > after:
-            return [(self.slow_s, answer(a_change(newest)))]
-        if self.changes_s <= until_s:
-            told_s = self.changes_s - asked_s + self.slow_s
-            return [(told_s, answer(a_change(self.revision + 1)))]
-        return [(until_s - asked_s + self.slow_s, answer(no_change(newest)))]
+            return [(self.slow_s, response_bytes(a_watch_response(newest)))]
+        if self.changes_at_s <= until_s:
+            due_s = self.changes_at_s - asked_s + self.slow_s
+            return [(due_s, response_bytes(a_watch_response(self.revision + 1)))]
+        return [
+            (
+                until_s - asked_s + self.slow_s,
+                response_bytes(an_empty_watch_response(newest)),
+            )
+        ]
--- a/tests/test_crashing_requests.py
+++ b/tests/test_crashing_requests.py
@@ -7,19 +7,19 @@
 from dataclasses import replace
 
 import pytest
-from crashing_servers import CRASHING_PATH, CrashingWorld
-from entry_harness import Asked, stream_head
+from crashing_servers import CRASHING_PATH, CrashingServersSimulation
+from entry_harness import ReceivedRequest, stream_head
 from fakes import FakePlatform
-from fleet_world import play as play_fleet
+from fleet_world import run_in_virtual_time
 from timed_engines import (
-    CRASHES,
-    Engine,
-    Site,
+    CRASH,
+    RelayHarness,
+    ScriptedEngine,
     Timetable,
-    a_site,
-    all_do,
-    asks,
-    heard_whole,
+    a_relay_harness,
+    engines_following,
+    generation_caller,
+    received_complete_stream,
     run,
     streams,
 )
@@ -47,7 +47,7 @@
 SEEDS = range(int(os.environ["SEEDS"])) if "SEEDS" in os.environ else (0, 1, 2, 12)
 POLICY = LeasePolicy(duration_s=5.0, margin_s=1.0)
 
-Scenario = Callable[[CrashingWorld], Awaitable[None]]
+Scenario = Callable[[CrashingServersSimulation], Awaitable[None]]
 
 
 def run_scenario(
@@ -57,20 +57,22 @@
     *,
     servers: int = 5,
     seed: int = 7,
-) -> CrashingWorld:
+) -> CrashingServersSimulation:
     """Run a scenario and return the world in its final state."""
-    vms, drain_s, contact_s = size
-    world = CrashingWorld(drain_s=drain_s, contact_s=contact_s, rng=random.Random(seed))
+    vms, drain_s, settle_s = size
+    simulation = CrashingServersSimulation(
+        drain_s=drain_s, settle_s=settle_s, rng=random.Random(seed)
+    )
 
     async def full_scenario() -> None:
-        await world.start(vms, monkeypatch, servers=servers)
+        await simulation.start(vms, monkeypatch, servers=servers)
         await asyncio.sleep(5.0)
-        await scenario(world)
-        await world.close()
+        await scenario(simulation)
+        await simulation.close()
 
-    play_fleet(full_scenario)
-    assert world.answered > 500
-    return world
+    run_in_virtual_time(full_scenario)
+    assert simulation.answered > 500
+    return simulation
 
 
 # Guards against each VM identifying the request by further crashes, anew at
@@ -79,13 +81,13 @@
 def test_request_that_crashes_servers_is_known_to_all_vms(
     monkeypatch: pytest.MonkeyPatch, size: Size
 ) -> None:
-    async def scenario(world: CrashingWorld) -> None:
-        await world.repeat(times=120, each_s=0.5)
+    async def scenario(simulation: CrashingServersSimulation) -> None:
+        await simulation.send_repeatedly(times=120, each_s=0.5)
 
-    world = run_scenario(monkeypatch, size, scenario)
-    assert world.crashes >= 2
-    assert world.sent_after_third() <= MAX_SENDS_AFTER_THIRD
-    statuses = [status for _, status in world.statuses]
+    simulation = run_scenario(monkeypatch, size, scenario)
+    assert simulation.crashes >= 2
+    assert simulation.sent_after_third() <= MAX_SENDS_AFTER_THIRD
+    statuses = [status for _, status in simulation.statuses]
     assert len(statuses) == 120 and set(statuses) <= {502, 503}
 
 
@@ -94,29 +96,29 @@
 def test_simultaneous_retries_at_all_vms_crash_few_servers(
     monkeypatch: pytest.MonkeyPatch, size: Size
 ) -> None:
-    async def scenario(world: CrashingWorld) -> None:
+    async def scenario(simulation: CrashingServersSimulation) -> None:
         for wave in range(4):
-            for vm in world.nodes:
-                world.ask_crashing(vm, f"{vm}-{wave}")
+            for vm in simulation.nodes:
+                simulation.send_crashing_request(vm, f"{vm}-{wave}")
             await asyncio.sleep(10.0)
 
-    world = run_scenario(monkeypatch, size, scenario)
-    assert world.sent_after_third() <= MAX_SENDS_AFTER_THIRD
+    simulation = run_scenario(monkeypatch, size, scenario)
+    assert simulation.sent_after_third() <= MAX_SENDS_AFTER_THIRD
 
 
-def crashes_if_marked(asked: Asked) -> Timetable:
+def crashes_if_marked(received: ReceivedRequest) -> Timetable:
     """Crash the engine soon after a marked stream starts; serve all others."""
-    if CRASHING_PATH in asked.line:
-        return [(0.05, stream_head(asked)), (0.08, CRASHES)]
-    return streams(asked, *(0.1 * number for number in range(1, 9)), until=8)
+    if CRASHING_PATH in received.line:
+        return [(0.05, stream_head(received)), (0.08, CRASH)]
+    return streams(received, *(0.1 * number for number in range(1, 9)), until=8)
 
 
-def restarts_with_model(site: Site) -> Callable[[Engine], None]:
+def restarts_with_model(harness: RelayHarness) -> Callable[[ScriptedEngine], None]:
     """Publish a restarted engine as a new instance with the same model."""
 
-    def publish_entry(engine: Engine) -> None:
-        entry = site.fleet.servers[engine.name].entry
-        site.fleet.put(replace(entry, born_ms=entry.born_ms + 1))
+    def publish_entry(engine: ScriptedEngine) -> None:
+        entry = harness.fleet.servers[engine.name].entry
+        harness.fleet.put(replace(entry, born_ms=entry.born_ms + 1))
 
     return publish_entry
 
@@ -125,27 +127,27 @@
 # request that crashed it, and against that request crashing all engines.
 def test_streams_sharing_engines_with_a_crashing_request_are_all_served() -> None:
     async def play() -> None:
-        engines = all_do(5, crashes_if_marked)
-        site = a_site(*engines, repeats=200.0)
+        engines = engines_following(5, crashes_if_marked)
+        harness = a_relay_harness(*engines, retries=200.0)
         for engine in engines:
-            engine.on_back = restarts_with_model(site)
-        others = [asks(f"q{number}") for number in range(150)]
+            engine.on_restart = restarts_with_model(harness)
+        others = [generation_caller(f"q{number}") for number in range(150)]
         for number, other in enumerate(others):
             other.body = b"%d" % number
-        marked = [asks(f"bad-{number}") for number in range(10)]
+        marked = [generation_caller(f"bad-{number}") for number in range(10)]
         for one in marked:
             one.path = CRASHING_PATH
         await asyncio.gather(
             *(
-                site.serve(other, after_s=0.1 * number)
+                harness.serve(other, after_s=0.1 * number)
                 for number, other in enumerate(others)
             ),
             *(
-                site.serve(one, after_s=1.0 + 1.2 * number)
+                harness.serve(one, after_s=1.0 + 1.2 * number)
                 for number, one in enumerate(marked)
             ),
         )
-        assert all(heard_whole(other) for other in others)
+        assert all(received_complete_stream(other) for other in others)
         assert sum(len(engine.crashed_at_s) for engine in engines) == 3
         assert {one.status for one in marked[3:]} == {503}
 
@@ -163,22 +165,24 @@
     size = (vms, 2.0, 3.0) if vms < 20 else (vms, 3.0, 4.0)
     paths = [CRASHING_PATH, f"{CRASHING_PATH}/2"][: rng.randint(1, 2)]
 
-    async def scenario(world: CrashingWorld) -> None:
-        world.lost_share = rng.choice([0.0, 0.1, 0.3])
+    async def scenario(simulation: CrashingServersSimulation) -> None:
+        simulation.lost_share = rng.choice([0.0, 0.1, 0.3])
         for number in range(40):
             for _ in range(rng.choice([1, 1, 1, 3])):
-                vm = rng.choice(sorted(world.nodes))
-                world.ask_crashing(vm, f"again-{number}", path=rng.choice(paths))
+                vm = rng.choice(sorted(simulation.nodes))
+                simulation.send_crashing_request(
+                    vm, f"again-{number}", path=rng.choice(paths)
+                )
             await asyncio.sleep(rng.choice([0.0, 0.02, 0.5, 2.0]))
             if rng.random() < 0.05:
-                world.replace_holder()
+                simulation.replace_holder()
 
-    world = run_scenario(
+    simulation = run_scenario(
         monkeypatch, size, scenario, servers=rng.choice([5, 8, 14]), seed=seed
     )
     for path in paths:
-        assert world.sent_after_third(path) <= MAX_SENDS_AFTER_THIRD
-    assert world.quarantined_unrelated == 0
+        assert simulation.sent_after_third(path) <= MAX_SENDS_AFTER_THIRD
+    assert simulation.quarantined_unrelated == 0
 
 
 # Guards against three more crashes per quarantined request after a power loss,
--- a/tests/test_engine_choice.py
+++ b/tests/test_engine_choice.py
@@ -14,7 +14,7 @@
     a_route,
     an_entry,
 )
-from entry_harness import NoModels
+from entry_harness import NoModelOrders
 from timed_engines import Caller
 
 from rosepath.caller_request import Prompt
@@ -61,7 +61,7 @@
     assert choice is not None and choice.server.name == "e2"
 
 
-class OneEngineWithCapacity(NoModels):
+class OneEngineWithCapacity(NoModelOrders):
     """Load adapters onto one engine only."""
 
     def __init__(self, name: str) -> None:
--- a/tests/test_fleet_words.py
+++ b/tests/test_fleet_words.py
@@ -9,7 +9,7 @@
 from dataclasses import dataclass
 
 import pytest
-from fleet_world import World, play
+from fleet_world import FleetSimulation, run_in_virtual_time
 
 SETTLING_S = 6.0
 MEASURED_S = 10.0
@@ -31,34 +31,36 @@
     measured: list[Measurements] = []
 
     async def run() -> None:
-        world = World(
-            drain_s=3.0, contact_s=4.0, data_centres=DATA_CENTRES, lost_share=0.02
+        simulation = FleetSimulation(
+            drain_s=3.0, settle_s=4.0, data_centres=DATA_CENTRES, lost_share=0.02
         )
-        await world.start(vms, monkeypatch, servers=8)
-        for node in world.nodes.values():
+        await simulation.start(vms, monkeypatch, servers=8)
+        for node in simulation.nodes.values():
             node.settings = node.settings.model_copy(update={"apply_ms": 3000.0})
         names = [f"i-{number}" for number in range(8)]
-        world.tasks.append(asyncio.create_task(world.keep_busy(names)))
+        simulation.tasks.append(
+            asyncio.create_task(simulation.keep_writing_entries(names))
+        )
         await asyncio.sleep(SETTLING_S)
-        for node in world.nodes.values():
+        for node in simulation.nodes.values():
             node.store.calls.clear()
-        world.sent.clear()
+        simulation.sent.clear()
         await asyncio.sleep(MEASURED_S)
         measured.append(
             Measurements(
                 full_watches=sum(
-                    node.store.calls["watch"] for node in world.nodes.values()
+                    node.store.calls["watch"] for node in simulation.nodes.values()
                 ),
-                holder_sent=world.sent[world.holder],
+                holder_sent=simulation.sent[simulation.holder],
                 oldest_s=max(
                     node.tables.servers_watcher.age.age_s
-                    for node in world.nodes.values()
+                    for node in simulation.nodes.values()
                 ),
             )
         )
-        await world.close()
+        await simulation.close()
 
-    play(run)
+    run_in_virtual_time(run)
     return measured[0]
 
 
--- a/tests/test_hedged_calls.py
+++ b/tests/test_hedged_calls.py
@@ -5,7 +5,7 @@
 from typing import TypeVar
 
 import pytest
-from fleet_world import play
+from fleet_world import run_in_virtual_time
 
 from rosepath.hedged_calls import OnResponseStart, first_response
 
@@ -48,7 +48,7 @@
         assert loop.time() - begun_s == pytest.approx(0.7)
         assert late == [pytest.approx(SLOW_AFTER_S)]
 
-    play(run)
+    run_in_virtual_time(run)
 
 
 def test_a_dead_connection_does_not_delay_the_response_over_another() -> None:
@@ -68,7 +68,7 @@
         took_s = asyncio.get_running_loop().time() - begun_s
         assert took_s == pytest.approx(SLOW_AFTER_S)
 
-    play(run)
+    run_in_virtual_time(run)
 
 
 def test_no_further_call_is_made_while_a_response_arrives() -> None:
@@ -85,7 +85,7 @@
         assert await ask(call)
         assert len(calls) == 1
 
-    play(run)
+    run_in_virtual_time(run)
 
 
 def test_a_failed_call_does_not_cancel_the_other() -> None:
@@ -103,7 +103,7 @@
 
         assert await ask(call) == "first"
 
-    play(run)
+    run_in_virtual_time(run)
 
 
 def test_the_failure_of_the_last_call_is_raised() -> None:
@@ -116,7 +116,7 @@
         with pytest.raises(ConnectionError):
             await ask(call)
 
-    play(run)
+    run_in_virtual_time(run)
 
 
 def test_a_silent_store_is_called_until_it_responds() -> None:
@@ -137,7 +137,7 @@
         assert loop.time() - begun_s <= 10.0 + HEDGE_INTERVAL_S + 0.01
         assert len(made_s) <= 12
 
-    play(run)
+    run_in_virtual_time(run)
 
 
 def test_further_calls_follow_a_response_that_fails_midway() -> None:
@@ -159,7 +159,7 @@
         assert await ask(call) == "answer"
         assert len(made) == 3
 
-    play(run)
+    run_in_virtual_time(run)
 
 
 def test_rejected_calls_are_paced_beside_a_silent_call() -> None:
@@ -178,4 +178,4 @@
         assert await ask(call, max_concurrent=4) == "late"
         assert len(made) <= 6
 
-    play(run)
+    run_in_virtual_time(run)
--- a/tests/test_idle_connections.py
+++ b/tests/test_idle_connections.py
@@ -8,7 +8,14 @@
 from collections.abc import Awaitable, Callable
 
 from entry_builders import a_route
-from entry_harness import Asked, Entry, Scripted, answer, entry, request
+from entry_harness import (
+    ReceivedRequest,
+    RunningGateway,
+    ScriptedServer,
+    answer,
+    request,
+    running_gateway,
+)
 
 from rosepath.catalog import CallerLimits, RouteKind
 
@@ -25,15 +32,15 @@
         return super().time() + self.ahead_s
 
 
-def play(course: Callable[[SteppedLoop, Entry], Awaitable[None]]) -> None:
-    async def answers(asked: Asked, writer: asyncio.StreamWriter) -> None:
-        writer.write(answer(asked, 200, b"whole"))
+def play(course: Callable[[SteppedLoop, RunningGateway], Awaitable[None]]) -> None:
+    async def answers(received: ReceivedRequest, writer: asyncio.StreamWriter) -> None:
+        writer.write(answer(received, 200, b"whole"))
 
     async def run() -> None:
         loop = asyncio.get_running_loop()
         assert isinstance(loop, SteppedLoop)
         route = a_route(kind=RouteKind.IDEMPOTENT, service="desk", resumable=False)
-        async with entry(Scripted("s1", answers), route=route) as node:
+        async with running_gateway(ScriptedServer("s1", answers), route=route) as node:
             node.gateway.apply_limits(CallerLimits(idle_timeout_s=IDLE_S))
             await course(loop, node)
 
@@ -41,7 +48,7 @@
         runner.run(run())
 
 
-async def until_idle(node: Entry) -> None:
+async def until_idle(node: RunningGateway) -> None:
     """Wait until the entry VM waits for a request."""
     while not node.gateway.idle:  # noqa: ASYNC110
         await asyncio.sleep(0)
@@ -51,7 +58,7 @@
     # The loop stood still for a moment, as while a large configuration is taken
     # in. A request came meanwhile, and the idle time ended after it: the
     # connection was closed, and its caller got no answer.
-    async def course(loop: SteppedLoop, node: Entry) -> None:
+    async def course(loop: SteppedLoop, node: RunningGateway) -> None:
         reader, writer = await node.connect()
         await until_idle(node)
         writer.write(request(LOOK_UP))
@@ -65,7 +72,7 @@
     # A head may take some seconds to come, and its connection may have been idle
     # for most of the idle time before: closed at its end, half of a request was
     # thrown away.
-    async def course(loop: SteppedLoop, node: Entry) -> None:
+    async def course(loop: SteppedLoop, node: RunningGateway) -> None:
         reader, writer = await node.connect()
         await until_idle(node)
         loop.ahead_s += IDLE_S - 1.0
@@ -86,7 +93,7 @@
 def test_a_connection_on_which_nothing_comes_is_closed() -> None:
     # Our timer stands in for the library's: without it, callers that went away
     # silently would keep their connections for ever.
-    async def course(loop: SteppedLoop, node: Entry) -> None:
+    async def course(loop: SteppedLoop, node: RunningGateway) -> None:
         reader, _ = await node.connect()
         await until_idle(node)
         loop.ahead_s += IDLE_S + 0.1
@@ -98,7 +105,7 @@
 def test_a_connection_that_its_caller_closed_is_forgotten() -> None:
     # Each connection that was closed between two requests stayed listed as idle:
     # an entry VM's memory grew with every connection that it ever had.
-    async def course(_: SteppedLoop, node: Entry) -> None:
+    async def course(_: SteppedLoop, node: RunningGateway) -> None:
         _, writer = await node.connect()
         await until_idle(node)
         writer.close()
--- a/tests/test_leaves_untold.py
+++ b/tests/test_leaves_untold.py
@@ -3,7 +3,7 @@
 import asyncio
 
 import pytest
-from fleet_world import World
+from fleet_world import FleetSimulation
 from test_leaving_servers import Size, entries, late_requests, sizes
 
 from rosepath.clock import ManualClock
@@ -19,16 +19,16 @@
     # A restarted lease holder must not report its departures as complete for
     # the time before its start: its first listing already lacks the server, so
     # it never reports that departure to the other VMs.
-    async def course(world: World) -> None:
-        holder = world.holder
+    async def course(simulation: FleetSimulation) -> None:
+        holder = simulation.holder
         for number in range(3):
-            world.kill(holder)
+            simulation.kill(holder)
             await asyncio.sleep(0.2)
-            world.leave(f"i-{number}")
+            simulation.start_departure(f"i-{number}")
             await asyncio.sleep(0.5)
-            world.holder_term += 1
-            world.holder = holder
-            world.start_again(holder, monkeypatch)
+            simulation.holder_term += 1
+            simulation.holder = holder
+            simulation.restart(holder, monkeypatch)
             await asyncio.sleep(14.0)
 
     assert late_requests(monkeypatch, size, course, busy=busy) == []
@@ -41,11 +41,11 @@
 ) -> None:
     # A single closed watch must not count as an outage: a server missing from
     # the listing right after it was kept as if its entry had expired.
-    async def course(world: World) -> None:
+    async def course(simulation: FleetSimulation) -> None:
         # Vary the time since the last store read.
         for number in range(10):
-            world.cut_watches()
-            world.leave(f"i-{number}")
+            simulation.cut_watches()
+            simulation.start_departure(f"i-{number}")
             await asyncio.sleep(5.0 + 0.07 * number)
 
     assert late_requests(monkeypatch, size, course, servers=14, busy=busy) == []
--- a/tests/test_leaving_servers.py
+++ b/tests/test_leaving_servers.py
@@ -10,7 +10,7 @@
 from collections.abc import Awaitable, Callable
 
 import pytest
-from fleet_world import World, play
+from fleet_world import FleetSimulation, run_in_virtual_time
 
 # Number of VMs, drain time in seconds, and the seconds after an outage of the
 # store from which the drain time applies again.
@@ -21,7 +21,7 @@
 # Whether the store entries of other servers change continuously.
 entries = pytest.mark.parametrize("busy", [False, True], ids=["quiet", "busy"])
 
-Scenario = Callable[[World], Awaitable[None]]
+Scenario = Callable[[FleetSimulation], Awaitable[None]]
 
 
 def late_requests(
@@ -30,33 +30,35 @@
     scenario: Scenario,
     *,
     servers: int = 8,
-    connect_s: float = 0.0,
+    connect_delay_s: float = 0.0,
     busy: bool = False,
     seed: int = 7,
     data_centres: int = 1,
 ) -> list[tuple[float, str, str]]:
     """Return the five latest requests to servers past their drain time."""
-    vms, drain_s, contact_s = size
-    world = World(
+    vms, drain_s, settle_s = size
+    simulation = FleetSimulation(
         drain_s=drain_s,
-        contact_s=contact_s,
-        connect_s=connect_s,
+        settle_s=settle_s,
+        connect_delay_s=connect_delay_s,
         data_centres=data_centres,
         rng=random.Random(seed),
     )
 
     async def run() -> None:
-        await world.start(vms, monkeypatch, servers=servers)
+        await simulation.start(vms, monkeypatch, servers=servers)
         if busy:
             stay = [f"i-{number}" for number in range(servers - 2, servers)]
-            world.tasks.append(asyncio.create_task(world.keep_busy(stay)))
+            simulation.tasks.append(
+                asyncio.create_task(simulation.keep_writing_entries(stay))
+            )
         await asyncio.sleep(10.0)
-        await scenario(world)
-        await world.close()
+        await scenario(simulation)
+        await simulation.close()
 
-    play(run)
-    assert world.answered > 500
-    return sorted(world.late_s, reverse=True)[:5]
+    run_in_virtual_time(run)
+    assert simulation.answered > 500
+    return sorted(simulation.late_sends, reverse=True)[:5]
 
 
 @entries
@@ -69,13 +71,13 @@
     # batch changes, and may take it for an entry that expired in an outage and
     # wait another 2.2 s for it to return. The two delays exceed the drain
     # time.
-    async def scenario(world: World) -> None:
+    async def scenario(simulation: FleetSimulation) -> None:
         for number, outage_s in enumerate((0.7, 1.7, 2.5)):
-            world.turn_away(world.holder)
+            simulation.block(simulation.holder)
             await asyncio.sleep(outage_s)
-            world.leave(f"i-{number}")
+            simulation.start_departure(f"i-{number}")
             await asyncio.sleep(5.0)
-            world.take_back()
+            simulation.unblock()
             await asyncio.sleep(6.0)
 
     assert late_requests(monkeypatch, size, scenario, busy=busy) == []
@@ -86,17 +88,19 @@
 def test_departures_when_the_lease_holder_fails(
     monkeypatch: pytest.MonkeyPatch, size: Size, busy: bool
 ) -> None:
-    async def scenario(world: World) -> None:
+    async def scenario(simulation: FleetSimulation) -> None:
         for number in range(3):
             await asyncio.sleep(3.0 + 0.3 * number)
-            world.kill(world.holder)
-            world.leave(f"i-{number}")
+            simulation.kill(simulation.holder)
+            simulation.start_departure(f"i-{number}")
             await asyncio.sleep(4.0)
-            world.holder_term += 1
-            world.holder = f"vm-{number + 1}"
+            simulation.holder_term += 1
+            simulation.holder = f"vm-{number + 1}"
             await asyncio.sleep(5.0)
 
-    assert late_requests(monkeypatch, size, scenario, busy=busy, connect_s=0.3) == []
+    assert (
+        late_requests(monkeypatch, size, scenario, busy=busy, connect_delay_s=0.3) == []
+    )
 
 
 @entries
@@ -108,10 +112,10 @@
     # latest sixteen departures leave the other VMs of a large fleet to read
     # the rest from the store up to 8 s later, the time for which their watches
     # batch changes while they receive state messages from the lease holder.
-    async def scenario(world: World) -> None:
+    async def scenario(simulation: FleetSimulation) -> None:
         await asyncio.sleep(0.2)
         for number in range(24):
-            world.leave(f"i-{number}", says_so=True)
+            simulation.start_departure(f"i-{number}", announced=True)
         await asyncio.sleep(10.0)
 
     assert late_requests(monkeypatch, size, scenario, servers=30, busy=busy) == []
@@ -128,17 +132,17 @@
     # table, its state messages make an outdated table look current (message
     # age 36 ms, last store call 0.15 s, last read of the servers 2.4 s), and
     # the other VMs start to read two seconds after the last message.
-    async def scenario(world: World) -> None:
+    async def scenario(simulation: FleetSimulation) -> None:
         for number in range(3):
-            holder = world.holder
-            world.silence(holder)
+            holder = simulation.holder
+            simulation.stall_watches(holder)
             await asyncio.sleep(0.3)
-            world.leave(f"i-{number}")
+            simulation.start_departure(f"i-{number}")
             await asyncio.sleep(2.0)
-            world.kill(holder)
+            simulation.kill(holder)
             await asyncio.sleep(4.0)
-            world.holder_term += 1
-            world.holder = f"vm-{number + 1}"
+            simulation.holder_term += 1
+            simulation.holder = f"vm-{number + 1}"
             await asyncio.sleep(5.0)
 
     assert late_requests(monkeypatch, size, scenario, busy=busy) == []
@@ -153,11 +157,11 @@
     # holder renews its lease over new connections. If these renewals make its
     # state messages count as current, the dead watches are detected too late:
     # the holder's after 2.5 s, those of the other VMs 0.5 s after its update.
-    async def scenario(world: World) -> None:
+    async def scenario(simulation: FleetSimulation) -> None:
         for number in range(4):
-            world.silence(*world.nodes)
+            simulation.stall_watches(*simulation.nodes)
             await asyncio.sleep(1.2)
-            world.leave(f"i-{number}")
+            simulation.start_departure(f"i-{number}")
             await asyncio.sleep(7.3)
 
     assert late_requests(monkeypatch, size, scenario, busy=busy) == []
@@ -171,18 +175,18 @@
     # checked again before the request is sent, the time to connect (or to load
     # an adapter) adds to all other delays. Here it alone exceeds the drain
     # time.
-    async def scenario(world: World) -> None:
+    async def scenario(simulation: FleetSimulation) -> None:
         for number in range(5):
-            world.leave(f"i-{number}", says_so=number % 2 == 0)
+            simulation.start_departure(f"i-{number}", announced=number % 2 == 0)
             await asyncio.sleep(2.0)
 
     size = (4, 0.3, 3.0)
-    assert late_requests(monkeypatch, size, scenario, connect_s=0.38) == []
+    assert late_requests(monkeypatch, size, scenario, connect_delay_s=0.38) == []
 
 
-async def inject_random_faults(world: World) -> None:
+async def inject_random_faults(simulation: FleetSimulation) -> None:
     """Remove servers and inject other faults, in sequence and concurrently."""
-    rng, names, dead = world.rng, list(world.nodes), 0
+    rng, names, dead = simulation.rng, list(simulation.nodes), 0
     leaving = iter(range(40))
     for _ in range(45):
         await asyncio.sleep(rng.uniform(0.1, 1.2))
@@ -190,28 +194,32 @@
         affected_vms = rng.sample(names, rng.randint(1, max(1, len(names) // 2)))
         if fault == "leave":
             for _ in range(rng.choice([1, 1, 2, 6])):
-                world.leave(f"i-{next(leaving, 0)}", says_so=rng.random() < 0.5)
-        elif fault == "away" and world.turned_away == set(names[:dead]):
-            world.turn_away(*affected_vms, *rng.choice([[], [world.holder]]))
+                simulation.start_departure(
+                    f"i-{next(leaving, 0)}", announced=rng.random() < 0.5
+                )
+        elif fault == "away" and simulation.blocked == set(names[:dead]):
+            simulation.block(*affected_vms, *rng.choice([[], [simulation.holder]]))
         elif fault == "away":
-            world.take_back(but=names[:dead])
+            simulation.unblock(excluded=names[:dead])
         elif fault == "silence":
-            world.silence(*affected_vms, *rng.choice([[], [world.holder]]))
+            simulation.stall_watches(
+                *affected_vms, *rng.choice([[], [simulation.holder]])
+            )
         elif fault == "kill" and dead < len(names) - 2:
             dead += 1
-            world.kill(world.holder)
+            simulation.kill(simulation.holder)
             await asyncio.sleep(rng.uniform(0.5, 3.0))
-            world.holder_term += 1
-            world.holder = names[dead]
+            simulation.holder_term += 1
+            simulation.holder = names[dead]
         elif fault == "core":
             # A departure at this moment is not acknowledged by a healthy
             # store.
             if rng.random() < 0.5:
-                await world.forget_history()
+                await simulation.compact_history()
             else:
                 stay = rng.sample(["i-44", "i-45", "i-46", "i-47"], 3)
-                await world.go_down(for_s=rng.uniform(0.5, 6.0), lapse=stay)
-        world.lost_share = rng.choice([0.0, 0.0, 0.1, 0.3])
+                await simulation.fail_store(for_s=rng.uniform(0.5, 6.0), expiring=stay)
+        simulation.lost_share = rng.choice([0.0, 0.0, 0.1, 0.3])
 
 
 @sizes
@@ -224,7 +232,13 @@
 ) -> None:
     scenario = inject_random_faults
     late = late_requests(
-        monkeypatch, size, scenario, servers=48, busy=True, connect_s=0.1, seed=seed
+        monkeypatch,
+        size,
+        scenario,
+        servers=48,
+        busy=True,
+        connect_delay_s=0.1,
+        seed=seed,
     )
     assert late == []
 
@@ -242,7 +256,7 @@
         inject_random_faults,
         servers=48,
         busy=True,
-        connect_s=0.1,
+        connect_delay_s=0.1,
         seed=seed,
         data_centres=3,
     )
--- a/tests/test_outdated_configuration.py
+++ b/tests/test_outdated_configuration.py
@@ -5,7 +5,7 @@
 from collections.abc import Awaitable, Callable
 
 import pytest
-from fleet_world import World, play
+from fleet_world import FleetSimulation, run_in_virtual_time
 
 # An accepted change must be in force within this time.
 APPLY_TIMEOUT_S = 2.0
@@ -21,19 +21,19 @@
 
 
 async def apply_versions(
-    world: World, *, every_s: float = 5.0, size: int = 0
+    simulation: FleetSimulation, *, every_s: float = 5.0, size: int = 0
 ) -> LateVMs:
     """Change the configuration a few times; return the late VMs by version."""
     late_vms: LateVMs = {}
 
     async def check(version: int) -> None:
         await asyncio.sleep(APPLY_TIMEOUT_S)
-        if late := world.without(version):
+        if late := simulation.vms_without_version(version):
             late_vms[version] = late
 
     checks = []
     for version in VERSIONS:
-        world.configure(version, size=size)
+        simulation.configure(version, size=size)
         checks.append(asyncio.create_task(check(version)))
         await asyncio.sleep(every_s)
     await asyncio.gather(*checks)
@@ -43,24 +43,24 @@
 def late_vms_in(
     monkeypatch: pytest.MonkeyPatch,
     vms: int,
-    scenario: Callable[[World], Awaitable[LateVMs]],
+    scenario: Callable[[FleetSimulation], Awaitable[LateVMs]],
     *,
     lost_share: float = 0.0,
 ) -> LateVMs:
     """Run a scenario; return the late VMs by version."""
-    world = World(rng=random.Random(7), lost_share=lost_share)
+    simulation = FleetSimulation(rng=random.Random(7), lost_share=lost_share)
     late_vms: LateVMs = {}
 
     async def run() -> None:
-        await world.start(vms, monkeypatch)
+        await simulation.start(vms, monkeypatch)
         await asyncio.sleep(8.0)
-        world.configure(2)
+        simulation.configure(2)
         await asyncio.sleep(4.0)
-        assert world.without(2) == []
-        late_vms.update(await scenario(world))
-        await world.close()
+        assert simulation.vms_without_version(2) == []
+        late_vms.update(await scenario(simulation))
+        await simulation.close()
 
-    play(run)
+    run_in_virtual_time(run)
     return late_vms
 
 
@@ -81,10 +81,10 @@
 ) -> None:
     # All others have the version and report it. A VM that the store refused
     # applied the old one until the store accepted its calls again.
-    async def scenario(world: World) -> LateVMs:
-        world.turn_away("vm-1")
+    async def scenario(simulation: FleetSimulation) -> LateVMs:
+        simulation.block("vm-1")
         await asyncio.sleep(5.0)
-        return await apply_versions(world)
+        return await apply_versions(simulation)
 
     assert late_vms_in(monkeypatch, vms, scenario, lost_share=lost_share) == {}
 
@@ -96,10 +96,10 @@
 ) -> None:
     # The others read the store rarely while the holder reports a fresh table,
     # which this holder cannot.
-    async def scenario(world: World) -> LateVMs:
-        world.turn_away(world.holder)
+    async def scenario(simulation: FleetSimulation) -> LateVMs:
+        simulation.block(simulation.holder)
         await asyncio.sleep(5.0)
-        return await apply_versions(world)
+        return await apply_versions(simulation)
 
     assert late_vms_in(monkeypatch, vms, scenario, lost_share=lost_share) == {}
 
@@ -110,10 +110,10 @@
     monkeypatch: pytest.MonkeyPatch, vms: int, lost_share: float
 ) -> None:
     # Until the holder notices, the others rely on it to see all changes.
-    async def scenario(world: World) -> LateVMs:
-        world.turn_away(world.holder)
+    async def scenario(simulation: FleetSimulation) -> LateVMs:
+        simulation.block(simulation.holder)
         await asyncio.sleep(0.1)
-        return await apply_versions(world)
+        return await apply_versions(simulation)
 
     assert late_vms_in(monkeypatch, vms, scenario, lost_share=lost_share) == {}
 
@@ -124,10 +124,10 @@
 ) -> None:
     # If VMs fetched only from the holder or their own data centre, most would
     # stay outdated although one VM has the version.
-    async def scenario(world: World) -> LateVMs:
-        world.turn_away(*(name for name in world.nodes if name != "vm-7"))
+    async def scenario(simulation: FleetSimulation) -> LateVMs:
+        simulation.block(*(name for name in simulation.nodes if name != "vm-7"))
         await asyncio.sleep(5.0)
-        return await apply_versions(world)
+        return await apply_versions(simulation)
 
     assert late_vms_in(monkeypatch, 30, scenario, lost_share=lost_share) == {}
 
@@ -140,9 +140,9 @@
     # The response takes 1.5 s here. The watch was ended and restarted while
     # its response was arriving, because the watch policy had changed
     # meanwhile.
-    async def scenario(world: World) -> LateVMs:
-        world.bytes_per_s["vm-1"] = LARGE_BYTES / 1.5
-        return await apply_versions(world, size=LARGE_BYTES)
+    async def scenario(simulation: FleetSimulation) -> LateVMs:
+        simulation.bytes_per_s["vm-1"] = LARGE_BYTES / 1.5
+        return await apply_versions(simulation, size=LARGE_BYTES)
 
     assert late_vms_in(monkeypatch, vms, scenario, lost_share=lost_share) == {}
 
@@ -152,9 +152,9 @@
     monkeypatch: pytest.MonkeyPatch, vms: int
 ) -> None:
     # Only another VM can deliver it in time.
-    async def scenario(world: World) -> LateVMs:
-        world.bytes_per_s["vm-1"] = LARGE_BYTES / 6.0
-        return await apply_versions(world, size=LARGE_BYTES)
+    async def scenario(simulation: FleetSimulation) -> LateVMs:
+        simulation.bytes_per_s["vm-1"] = LARGE_BYTES / 6.0
+        return await apply_versions(simulation, size=LARGE_BYTES)
 
     assert late_vms_in(monkeypatch, vms, scenario) == {}
 
@@ -164,13 +164,13 @@
     monkeypatch: pytest.MonkeyPatch, vms: int
 ) -> None:
     # All VMs list the store again at the same moment, each over its own link.
-    async def scenario(world: World) -> LateVMs:
-        for name in world.nodes:
-            world.bytes_per_s[name] = LARGE_BYTES / 0.8
-        changing = asyncio.create_task(apply_versions(world, size=LARGE_BYTES))
+    async def scenario(simulation: FleetSimulation) -> LateVMs:
+        for name in simulation.nodes:
+            simulation.bytes_per_s[name] = LARGE_BYTES / 0.8
+        changing = asyncio.create_task(apply_versions(simulation, size=LARGE_BYTES))
         for _ in VERSIONS:
             await asyncio.sleep(0.4)
-            world.cut_watches(forget=True)
+            simulation.cut_watches(compact=True)
             await asyncio.sleep(4.6)
         return await changing
 
@@ -182,10 +182,10 @@
 ) -> None:
     # When all VMs read it from the store, the same document saturated their
     # links and the store's, and delayed callers' streams.
-    async def scenario(world: World) -> LateVMs:
-        before = sum(world.received_bytes.values())
-        late_vms = await apply_versions(world, size=LARGE_BYTES)
-        read = sum(world.received_bytes.values()) - before
+    async def scenario(simulation: FleetSimulation) -> LateVMs:
+        before = sum(simulation.received_bytes.values())
+        late_vms = await apply_versions(simulation, size=LARGE_BYTES)
+        read = sum(simulation.received_bytes.values()) - before
         assert read < 0.5 * LARGE_FLEET_VMS * LARGE_BYTES * len(VERSIONS)
         return late_vms
 
--- a/tests/test_peer_configuration.py
+++ b/tests/test_peer_configuration.py
@@ -7,7 +7,7 @@
 
 import pytest
 from entry_builders import a_peer_state
-from fleet_world import play
+from fleet_world import run_in_virtual_time
 from tornado.httpserver import HTTPServer
 from tornado.testing import bind_unused_port
 from tornado.web import Application, RequestHandler
@@ -111,7 +111,7 @@
         await vm.catch_up(limit_s=1.0)
         assert vm.fetched_from == ["near"]
 
-    play(run)
+    run_in_virtual_time(run)
 
 
 def test_a_failed_peer_does_not_prevent_fetches_from_others() -> None:
@@ -125,7 +125,7 @@
         await vm.catch_up(limit_s=3.0)
         assert vm.fetched_from[-1] == "near"
 
-    play(run)
+    run_in_virtual_time(run)
 
 
 def test_an_incomplete_response_does_not_prevent_fetches_from_others() -> None:
@@ -140,7 +140,7 @@
         await vm.catch_up(limit_s=3.0)
         assert vm.fetched_from == ["stuck", "far"]
 
-    play(run)
+    run_in_virtual_time(run)
 
 
 def test_fetches_of_an_old_version_are_repeated_only_after_a_delay() -> None:
@@ -155,7 +155,7 @@
             await vm.catch_up(limit_s=10.0)
         assert len(vm.fetched_from) <= 30
 
-    play(run)
+    run_in_virtual_time(run)
 
 
 def test_a_large_fleet_does_not_fetch_from_the_holder_at_once() -> None:
@@ -167,7 +167,7 @@
         assert took_s >= HOLDER_EXCLUDED_S
         assert vm.fetched_from == ["holder"]
 
-    play(run)
+    run_in_virtual_time(run)
 
 
 def test_nothing_is_fetched_while_no_newer_revision_is_known() -> None:
@@ -181,7 +181,7 @@
         assert vm.fetched_from == []
         running.cancel()
 
-    play(run)
+    run_in_virtual_time(run)
 
 
 @pytest.mark.parametrize("size_bytes", [2, 300_000])
--- a/tests/test_placer.py
+++ b/tests/test_placer.py
@@ -144,7 +144,7 @@
     elif kind == "heal":
         engine.fault = ""
     elif kind == "land":
-        engine.land_late()
+        engine.execute_delayed()
     elif kind == "load":
         engine.finish_loading()
     elif kind == "store":
@@ -153,7 +153,7 @@
         cluster.platform.lose_replies(f"ledger/{engine_name}", 1)
     elif kind == "wait":
         for other in cluster.engines.values():
-            other.land_late()
+            other.execute_delayed()
         cluster.clock.advance(LATE_ORDER_BOUND_S + 1)
     elif kind == "kill":
         engine.alive = not engine.alive
@@ -188,7 +188,7 @@
     cluster.two_holders = cluster.platform.down = False
     for engine in cluster.engines.values():
         engine.alive, engine.fault = True, ""
-        engine.land_late()
+        engine.execute_delayed()
     cluster.check_memory()
     cluster.configuration = declare_engines_and_models(fences=fences, models=8)
     cluster.clock.advance(LATE_ORDER_BOUND_S * 2)
--- a/tests/test_reads_left_to_arrive.py
+++ b/tests/test_reads_left_to_arrive.py
@@ -6,13 +6,13 @@
 from store_wire import (
     Pieces,
     SlowStore,
-    a_listing,
+    a_list_response,
     a_store,
-    answer,
+    an_empty_watch_response,
     in_pieces,
-    no_change,
     now_s,
-    play,
+    response_bytes,
+    run_in_virtual_time,
 )
 from virtual_time import LoopClock
 
@@ -47,8 +47,10 @@
             return ()
         asked.append(path)
         if len(asked) == 1:
-            return [(0.01, answer(a_listing(5)))]
-        return in_pieces(answer(a_listing(6)), 10, first_s=0.1, gap_s=ARRIVES_S / 10)
+            return [(0.01, response_bytes(a_list_response(5)))]
+        return in_pieces(
+            response_bytes(a_list_response(6)), 10, first_s=0.1, gap_s=ARRIVES_S / 10
+        )
 
     async def run() -> None:
         feed = a_feed(taken_s, pace)
@@ -62,7 +64,7 @@
                 await asyncio.sleep(0.05)
         following.cancel()
 
-    play(script, run)
+    run_in_virtual_time(script, run)
     return len(asked) - 1
 
 
@@ -88,11 +90,11 @@
 
     def script(path: str) -> Pieces:
         if "watch" in path:
-            return [(0.6, answer(no_change(7)))]
+            return [(0.6, response_bytes(an_empty_watch_response(7)))]
         lists.append(path)
         if len(lists) == 1:
-            return [(0.01, answer(a_listing(5)))]
-        return [(0.01, answer({**a_listing(6), "atRevision": 7}))]
+            return [(0.01, response_bytes(a_list_response(5)))]
+        return [(0.01, response_bytes({**a_list_response(6), "atRevision": 7}))]
 
     async def run() -> None:
         feed = a_feed(taken_s, WatchPolicy(wait_s=0.6))
@@ -103,7 +105,7 @@
         following.cancel()
         assert not feed.behind
 
-    play(script, run)
+    run_in_virtual_time(script, run)
 
 
 def test_a_store_that_responds_after_seconds_is_eventually_read() -> None:
@@ -117,4 +119,4 @@
         following.cancel()
         assert 5 in taken_s
 
-    play(SlowStore(slow_s=slow_s), run)
+    run_in_virtual_time(SlowStore(slow_s=slow_s), run)
--- a/tests/test_ready_without_servers.py
+++ b/tests/test_ready_without_servers.py
@@ -3,7 +3,7 @@
 import asyncio
 
 import pytest
-from fleet_world import World, play
+from fleet_world import FleetSimulation, run_in_virtual_time
 
 
 def test_a_vm_with_only_a_copied_configuration_is_not_ready(
@@ -13,14 +13,14 @@
     # another VM, but no servers. If it reported ready, it would receive
     # callers and reject all their requests.
     async def run() -> None:
-        world = World()
-        world.configure(3)
-        world.turn_away("vm-1")
-        await world.start(3, monkeypatch)
-        started = world.nodes["vm-1"]
+        simulation = FleetSimulation()
+        simulation.configure(3)
+        simulation.block("vm-1")
+        await simulation.start(3, monkeypatch)
+        started = simulation.nodes["vm-1"]
         started.tables.catalog = None
         await asyncio.sleep(5.0)
         assert started.tables.fleet.servers or not started.ready
-        await world.close()
+        await simulation.close()
 
-    play(run)
+    run_in_virtual_time(run)
--- a/tests/test_relay.py
+++ b/tests/test_relay.py
@@ -6,15 +6,15 @@
 import pytest
 from entry_builders import a_route
 from entry_harness import (
-    Asked,
-    Entry,
-    Scripted,
+    ReceivedRequest,
+    RunningGateway,
+    ScriptedServer,
     answer,
     chunk,
-    entry,
     event,
     read_request,
     request,
+    running_gateway,
     stream_head,
 )
 from structlog.testing import capture_logs
@@ -42,42 +42,46 @@
     return a_route(kind=kind, service="desk", max_attempts=max_attempts)
 
 
-async def answers(asked: Asked, writer: asyncio.StreamWriter) -> None:
-    writer.write(answer(asked, 200, b"whole"))
+async def answers(received: ReceivedRequest, writer: asyncio.StreamWriter) -> None:
+    writer.write(answer(received, 200, b"whole"))
 
 
-async def breaks_off(asked: Asked, writer: asyncio.StreamWriter) -> None:
-    writer.write(answer(asked, 200, b"whole")[:-2])
+async def breaks_off(received: ReceivedRequest, writer: asyncio.StreamWriter) -> None:
+    writer.write(answer(received, 200, b"whole")[:-2])
     writer.close()
 
 
-async def refuses(asked: Asked, writer: asyncio.StreamWriter) -> None:
-    writer.write(answer(asked, 503, b"", "Not-Executed: 1\r\n"))
+async def refuses(received: ReceivedRequest, writer: asyncio.StreamWriter) -> None:
+    writer.write(answer(received, 503, b"", "Not-Executed: 1\r\n"))
 
 
-async def fails(asked: Asked, writer: asyncio.StreamWriter) -> None:
-    writer.write(answer(asked, 500, b"sorry"))
+async def fails(received: ReceivedRequest, writer: asyncio.StreamWriter) -> None:
+    writer.write(answer(received, 500, b"sorry"))
 
 
-async def streams(asked: Asked, writer: asyncio.StreamWriter) -> None:
-    first = int(asked.headers.get("last-event-id", "0")) + 1
-    writer.write(stream_head(asked))
+async def streams(received: ReceivedRequest, writer: asyncio.StreamWriter) -> None:
+    first = int(received.headers.get("last-event-id", "0")) + 1
+    writer.write(stream_head(received))
     for number in range(first, 5):
         writer.write(chunk(event(number)))
     writer.write(b"0\r\n\r\n")
 
 
-async def dies_after_two_events(asked: Asked, writer: asyncio.StreamWriter) -> None:
-    writer.write(stream_head(asked) + chunk(event(1)) + chunk(event(2) + b"id: 3\nda"))
+async def dies_after_two_events(
+    received: ReceivedRequest, writer: asyncio.StreamWriter
+) -> None:
+    writer.write(
+        stream_head(received) + chunk(event(1)) + chunk(event(2) + b"id: 3\nda")
+    )
     await writer.drain()
     writer.close()
 
 
-async def ask_until_routed_to(node: Entry, server: Scripted) -> bytes:
+async def ask_until_routed_to(node: RunningGateway, server: ScriptedServer) -> bytes:
     """Send different prompts until one is routed to the server."""
     for number in range(40):
-        data = await node.ask(generate(f"{number:x}"))
-        if server.asked:
+        data = await node.send_request(generate(f"{number:x}"))
+        if server.requests:
             return data
     raise AssertionError(f"{server.name} was sent no prompt")
 
@@ -86,22 +90,22 @@
     # The server runs the request, then its response breaks off. A retry would
     # lodge the claim twice, and a 503 would state that it had not run.
     async def run() -> None:
-        servers = Scripted("s1", breaks_off), Scripted("s2", breaks_off)
+        servers = ScriptedServer("s1", breaks_off), ScriptedServer("s2", breaks_off)
         route = a_plain_route(RouteKind.NON_IDEMPOTENT)
-        async with entry(*servers, route=route) as node:
-            data = await node.ask(FILE, b"claim")
+        async with running_gateway(*servers, route=route) as node:
+            data = await node.send_request(FILE, b"claim")
         assert data.startswith(b"HTTP/1.1 502")
-        assert sum(len(server.asked) for server in servers) == 1
+        assert sum(len(server.requests) for server in servers) == 1
 
     asyncio.run(run())
 
 
 def test_a_request_refused_without_running_goes_to_another_server() -> None:
     async def run() -> None:
-        servers = Scripted("s1", refuses), Scripted("s2", answers)
+        servers = ScriptedServer("s1", refuses), ScriptedServer("s2", answers)
         route = a_plain_route(RouteKind.NON_IDEMPOTENT, max_attempts=1)
-        async with entry(*servers, route=route) as node:
-            data = await node.ask(FILE, b"claim")
+        async with running_gateway(*servers, route=route) as node:
+            data = await node.send_request(FILE, b"claim")
         assert data.endswith(b"whole")
 
     asyncio.run(run())
@@ -109,10 +113,10 @@
 
 def test_a_request_that_no_server_ran_gets_a_503_with_retry_after() -> None:
     async def run() -> None:
-        servers = Scripted("s1", refuses), Scripted("s2", refuses)
+        servers = ScriptedServer("s1", refuses), ScriptedServer("s2", refuses)
         route = a_plain_route(RouteKind.NON_IDEMPOTENT)
-        async with entry(*servers, route=route, slack=1.5) as node:
-            data = await node.ask(FILE, b"claim")
+        async with running_gateway(*servers, route=route, slack=1.5) as node:
+            data = await node.send_request(FILE, b"claim")
         assert data.startswith(b"HTTP/1.1 503")
         assert b"Retry-After: " in data
 
@@ -122,8 +126,10 @@
 def test_the_log_names_what_prevented_another_attempt() -> None:
     async def run() -> None:
         route = a_plain_route(RouteKind.NON_IDEMPOTENT)
-        async with entry(Scripted("s1", refuses), route=route, slack=0.0) as node:
-            await node.ask(FILE, b"claim")
+        async with running_gateway(
+            ScriptedServer("s1", refuses), route=route, slack=0.0
+        ) as node:
+            await node.send_request(FILE, b"claim")
 
     with capture_logs() as lines:
         asyncio.run(run())
@@ -134,20 +140,22 @@
 
 def test_an_idempotent_request_is_retried_elsewhere_after_an_error() -> None:
     async def run() -> None:
-        servers = Scripted("s1", fails), Scripted("s2", answers)
+        servers = ScriptedServer("s1", fails), ScriptedServer("s2", answers)
         route = a_plain_route(RouteKind.IDEMPOTENT)
-        async with entry(*servers, route=route) as node:
+        async with running_gateway(*servers, route=route) as node:
             for _ in range(6):
-                assert (await node.ask(LOOK_UP)).endswith(b"whole")
+                assert (await node.send_request(LOOK_UP)).endswith(b"whole")
 
     asyncio.run(run())
 
 
 def test_the_last_error_response_is_passed_on_unchanged() -> None:
     async def run() -> None:
-        servers = Scripted("s1", fails), Scripted("s2", fails)
-        async with entry(*servers, route=a_plain_route(RouteKind.IDEMPOTENT)) as node:
-            data = await node.ask(LOOK_UP)
+        servers = ScriptedServer("s1", fails), ScriptedServer("s2", fails)
+        async with running_gateway(
+            *servers, route=a_plain_route(RouteKind.IDEMPOTENT)
+        ) as node:
+            data = await node.send_request(LOOK_UP)
         assert data.startswith(b"HTTP/1.1 500") and data.endswith(b"sorry")
         assert b"Response-Signature: s" in data
 
@@ -158,27 +166,35 @@
     # On a reused connection the server sends a stray response before the
     # expected one. Only the request id tells them apart.
     async def run() -> None:
-        async def stray_first(asked: Asked, writer: asyncio.StreamWriter) -> None:
-            stray = Asked(asked.line, {"request-id": "other"}, b"")
-            writer.write(answer(stray, 200, b"wrong") + answer(asked, 200, b"right"))
-
-        server = Scripted("s1", stray_first)
-        async with entry(server, route=a_plain_route(RouteKind.IDEMPOTENT)) as node:
-            assert (await node.ask(LOOK_UP)).endswith(b"right")
+        async def stray_first(
+            received: ReceivedRequest, writer: asyncio.StreamWriter
+        ) -> None:
+            stray = ReceivedRequest(received.line, {"request-id": "other"}, b"")
+            writer.write(answer(stray, 200, b"wrong") + answer(received, 200, b"right"))
+
+        server = ScriptedServer("s1", stray_first)
+        async with running_gateway(
+            server, route=a_plain_route(RouteKind.IDEMPOTENT)
+        ) as node:
+            assert (await node.send_request(LOOK_UP)).endswith(b"right")
 
     asyncio.run(run())
 
 
 def test_a_resumable_stream_resumes_after_the_last_event() -> None:
     async def run() -> None:
-        first = Scripted("s1", dies_after_two_events)
-        second = Scripted("s2", streams)
-        async with entry(first, second) as node:
+        first = ScriptedServer("s1", dies_after_two_events)
+        second = ScriptedServer("s2", streams)
+        async with running_gateway(first, second) as node:
             data = await ask_until_routed_to(node, first)
         events = b"".join(event(number) for number in range(1, 5))
         body = data.partition(b"\r\n\r\n")[2]
         assert b"".join(body.split(b"\r\n")[1::2]) == events
-        resumed = [asked for asked in second.asked if "last-event-id" in asked.headers]
+        resumed = [
+            received
+            for received in second.requests
+            if "last-event-id" in received.headers
+        ]
         assert resumed and resumed[0].headers["last-event-id"] == "2"
 
     asyncio.run(run())
@@ -186,12 +202,15 @@
 
 def test_an_interrupted_stream_that_cannot_resume_does_not_look_complete() -> None:
     async def run() -> None:
-        servers = Scripted("s1", dies_after_two_events), Scripted("s2", streams)
-        async with entry(*servers, route=a_route(resumable=False)) as node:
+        servers = (
+            ScriptedServer("s1", dies_after_two_events),
+            ScriptedServer("s2", streams),
+        )
+        async with running_gateway(*servers, route=a_route(resumable=False)) as node:
             data = await ask_until_routed_to(node, servers[0])
         assert event(2) in data
         assert not data.endswith(b"0\r\n\r\n")
-        assert len(servers[0].asked) == 1
+        assert len(servers[0].requests) == 1
 
     asyncio.run(run())
 
@@ -200,13 +219,18 @@
     # A server dies in the middle of a stream and the next one responds with
     # 500, which must not end the stream as if it were complete.
     async def run() -> None:
-        first, second = Scripted("s1", dies_after_two_events), Scripted("s2", fails)
-        async with entry(first, second) as node:
+        first, second = (
+            ScriptedServer("s1", dies_after_two_events),
+            ScriptedServer("s2", fails),
+        )
+        async with running_gateway(first, second) as node:
             for number in range(40):
-                data = await node.ask(generate(f"{number:x}"))
-                if any("last-event-id" in asked.headers for asked in second.asked):
+                data = await node.send_request(generate(f"{number:x}"))
+                if any(
+                    "last-event-id" in received.headers for received in second.requests
+                ):
                     break
-        assert "last-event-id" in second.asked[-1].headers
+        assert "last-event-id" in second.requests[-1].headers
         assert event(2) in data
         assert not data.endswith(b"0\r\n\r\n")
 
@@ -217,17 +241,17 @@
     # Unless the caller's connection is watched while its response is awaited,
     # its close goes unnoticed and the engine keeps generating.
     async def run() -> None:
-        async def never(asked: Asked, _: asyncio.StreamWriter) -> None:
+        async def never(received: ReceivedRequest, _: asyncio.StreamWriter) -> None:
             begun.set()
 
         begun = asyncio.Event()
-        server = Scripted("s1", never)
-        async with entry(server) as node, asyncio.timeout(10):
+        server = ScriptedServer("s1", never)
+        async with running_gateway(server) as node, asyncio.timeout(10):
             _, writer = await node.connect()
             writer.write(request(generate()))
             await begun.wait()
             writer.close()
-            await server.left.wait()
+            await server.disconnected.wait()
 
     asyncio.run(run())
 
@@ -243,22 +267,28 @@
 )
 def test_an_invalid_request_gets_a_client_error(head: str, status: int) -> None:
     async def run() -> None:
-        server = Scripted("s1", answers)
-        async with entry(server, route=a_plain_route(RouteKind.IDEMPOTENT)) as node:
-            data = await node.ask(head)
+        server = ScriptedServer("s1", answers)
+        async with running_gateway(
+            server, route=a_plain_route(RouteKind.IDEMPOTENT)
+        ) as node:
+            data = await node.send_request(head)
             assert data.startswith(b"HTTP/1.1 %d" % status)
-            assert (await node.ask(LOOK_UP)).endswith(b"whole")
-        assert len(server.asked) == 1
+            assert (await node.send_request(LOOK_UP)).endswith(b"whole")
+        assert len(server.requests) == 1
 
     asyncio.run(run())
 
 
 def test_internal_headers_sent_by_a_caller_are_not_forwarded() -> None:
     async def run() -> None:
-        server = Scripted("s1", answers)
-        async with entry(server, route=a_plain_route(RouteKind.IDEMPOTENT)) as node:
-            await node.ask(f"{LOOK_UP}\r\nHold: h1\r\nKv-From: x\r\nX-Other: kept")
-        headers = server.asked[0].headers
+        server = ScriptedServer("s1", answers)
+        async with running_gateway(
+            server, route=a_plain_route(RouteKind.IDEMPOTENT)
+        ) as node:
+            await node.send_request(
+                f"{LOOK_UP}\r\nHold: h1\r\nKv-From: x\r\nX-Other: kept"
+            )
+        headers = server.requests[0].headers
         assert "hold" not in headers and "kv-from" not in headers
         assert headers["x-other"] == "kept"
         assert headers["target-instance"] == "s1"
@@ -272,13 +302,16 @@
     # close. If the connection stays open, a caller may send another request on
     # it, which is lost when the process exits.
     async def run() -> None:
-        async def half(asked: Asked, writer: asyncio.StreamWriter) -> None:
-            writer.write(stream_head(asked) + chunk(event(1)))
+        async def half(received: ReceivedRequest, writer: asyncio.StreamWriter) -> None:
+            writer.write(stream_head(received) + chunk(event(1)))
             await finish.wait()
             writer.write(chunk(event(2)) + b"0\r\n\r\n")
 
         finish = asyncio.Event()
-        async with entry(Scripted("s1", half)) as node, asyncio.timeout(10):
+        async with (
+            running_gateway(ScriptedServer("s1", half)) as node,
+            asyncio.timeout(10),
+        ):
             reader, writer = await node.connect()
             writer.write(request(generate()))
             await reader.readuntil(event(1))
@@ -292,9 +325,9 @@
 
 def test_a_stop_closes_idle_connections() -> None:
     async def run() -> None:
-        server = Scripted("s1", answers)
+        server = ScriptedServer("s1", answers)
         route = a_plain_route(RouteKind.IDEMPOTENT)
-        async with entry(server, route=route) as node, asyncio.timeout(10):
+        async with running_gateway(server, route=route) as node, asyncio.timeout(10):
             reader, writer = await node.connect()
             writer.write(request(LOOK_UP))
             await reader.readuntil(b"whole")
@@ -308,8 +341,8 @@
     async def run() -> None:
         reader = asyncio.StreamReader()
         reader.feed_data(request(FILE, b"abc"))
-        asked = await read_request(reader)
-        assert asked.body == b"abc"
+        received = await read_request(reader)
+        assert received.body == b"abc"
 
     asyncio.run(run())
 
@@ -319,11 +352,11 @@
     # order affects. Without a limit, one request was sent 22 times in two
     # seconds.
     async def run() -> None:
-        server = Scripted("s1", refuses)
-        async with entry(server) as node:
-            data = await node.ask(generate())
+        server = ScriptedServer("s1", refuses)
+        async with running_gateway(server) as node:
+            data = await node.send_request(generate())
         assert data.startswith(b"HTTP/1.1 503")
-        assert len(server.asked) <= MAX_SENT_ATTEMPTS
+        assert len(server.requests) <= MAX_SENT_ATTEMPTS
 
     asyncio.run(run())
 
@@ -333,12 +366,12 @@
     # for seconds. Six connections refused within milliseconds must not end the
     # request, since an engine may have the model a moment later.
     async def run() -> None:
-        server = Scripted("s1", streams)
-        async with entry(server) as node, asyncio.timeout(20):
+        server = ScriptedServer("s1", streams)
+        async with running_gateway(server) as node, asyncio.timeout(20):
             host, _, port = server.address.partition(":")
             await node.close_server("s1")
-            asking = asyncio.ensure_future(node.ask(generate()))
-            await node.until_unreached("s1")
+            asking = asyncio.ensure_future(node.send_request(generate()))
+            await node.wait_connect_failure("s1")
             back = await asyncio.start_server(server.serve, host, int(port))
             data = await asking
             back.close()
@@ -354,7 +387,7 @@
     # only the stop can end the wait.
     async def run() -> None:
         patient = replace(a_route(timeout_s=600.0), target_latency_s=100.0)
-        async with entry(route=patient) as node, asyncio.timeout(10):
+        async with running_gateway(route=patient) as node, asyncio.timeout(10):
             reader, writer = await node.connect()
             writer.write(request(generate()))
             while not node.gateway.serving:  # noqa: ASYNC110
@@ -374,21 +407,23 @@
     # cut it. This is the unproved explanation of a stream cut once, 3.6 s into
     # a planned stop.
     async def run() -> None:
-        asked_before: list[Asked] = []
+        asked_before: list[ReceivedRequest] = []
 
-        async def breaks_once(asked: Asked, writer: asyncio.StreamWriter) -> None:
-            asked_before.append(asked)
+        async def breaks_once(
+            received: ReceivedRequest, writer: asyncio.StreamWriter
+        ) -> None:
+            asked_before.append(received)
             if len(asked_before) > 1:
-                await streams(asked, writer)
+                await streams(received, writer)
                 return
-            writer.write(stream_head(asked) + chunk(event(1)))
+            writer.write(stream_head(received) + chunk(event(1)))
             await writer.drain()
             node.wait_limit_s = 0.0
             writer.close()
 
-        server = Scripted("s1", breaks_once)
-        async with entry(server) as node, asyncio.timeout(10):
-            data = await node.ask(generate())
+        server = ScriptedServer("s1", breaks_once)
+        async with running_gateway(server) as node, asyncio.timeout(10):
+            data = await node.send_request(generate())
         assert data.endswith(b"0\r\n\r\n")
         assert event(4) in data
 
@@ -418,9 +453,9 @@
     # A request whose route only a newer configuration declares may get a 404,
     # and the log must show which configuration was in force.
     async def run() -> None:
-        servers = Scripted("s1", answers)
-        async with entry(servers, configuration=lambda: view) as node:
-            await node.ask(head)
+        servers = ScriptedServer("s1", answers)
+        async with running_gateway(servers, configuration=lambda: view) as node:
+            await node.send_request(head)
 
     with capture_logs() as lines:
         asyncio.run(run())
@@ -437,8 +472,8 @@
 def test_the_logged_path_is_truncated() -> None:
     # Any caller may send paths of 60 kB, which would fill the retained log.
     async def run() -> None:
-        async with entry(Scripted("s1", answers)) as node:
-            await node.ask(f"GET /{'x' * 9000} HTTP/1.1\r\nRequest-Id: q1")
+        async with running_gateway(ScriptedServer("s1", answers)) as node:
+            await node.send_request(f"GET /{'x' * 9000} HTTP/1.1\r\nRequest-Id: q1")
 
     with capture_logs() as lines:
         asyncio.run(run())
@@ -452,13 +487,13 @@
 
     async def run() -> None:
         route = a_plain_route(RouteKind.NON_IDEMPOTENT)
-        async with entry(
-            Scripted("s1", refuses),
+        async with running_gateway(
+            ScriptedServer("s1", refuses),
             route=route,
             slack=0.0,
             configuration=lambda: next(views),
         ) as node:
-            await node.ask(FILE, b"claim")
+            await node.send_request(FILE, b"claim")
 
     with capture_logs() as lines:
         asyncio.run(run())
@@ -472,13 +507,13 @@
     records = RequestRecorder(EntryMetrics(), clock=SystemClock())
 
     async def run() -> None:
-        async with entry(
-            Scripted("s1", answers),
+        async with running_gateway(
+            ScriptedServer("s1", answers),
             route=a_plain_route(RouteKind.IDEMPOTENT),
             configuration=lambda: BEHIND,
             on_outcome=records.note,
         ) as node:
-            assert (await node.ask(LOOK_UP)).endswith(b"whole")
+            assert (await node.send_request(LOOK_UP)).endswith(b"whole")
 
     with capture_logs() as lines:
         asyncio.run(run())
--- a/tests/test_retry_policy.py
+++ b/tests/test_retry_policy.py
@@ -8,24 +8,24 @@
 from dataclasses import replace
 
 from entry_builders import a_route
-from entry_harness import Asked, answer
+from entry_harness import ReceivedRequest, answer
 from timed_engines import (
-    Engine,
+    ScriptedEngine,
     Timetable,
-    a_look_up_route,
-    a_site,
+    a_plain_service_route,
+    a_relay_harness,
     add,
-    all_do,
-    answers_late,
-    answers_soon,
-    asks,
-    breaks,
-    goes_on,
-    heard_whole,
-    in_turn,
-    looks_up,
-    never_answers,
+    completes_stream,
+    engines_following,
+    generation_caller,
+    loses_connection,
+    never_responds,
+    one_script_each,
+    plain_service_caller,
+    received_complete_stream,
     refuses,
+    responds_quickly,
+    responds_slowly,
     run,
 )
 
@@ -37,19 +37,26 @@
         loop = asyncio.get_running_loop()
         begun_s = loop.time()
 
-        def full_at_first(asked: Asked) -> Timetable:
-            return goes_on(asked) if loop.time() - begun_s > 3.0 else refuses(asked)
-
-        dying, full = Engine("e1", breaks), Engine("e2", full_at_first)
-        site = a_site(dying, repeats=60)
-        caller = asks()
-        serving = asyncio.ensure_future(site.serve(caller))
+        def full_at_first(received: ReceivedRequest) -> Timetable:
+            return (
+                completes_stream(received)
+                if loop.time() - begun_s > 3.0
+                else refuses(received)
+            )
+
+        dying, full = (
+            ScriptedEngine("e1", loses_connection),
+            ScriptedEngine("e2", full_at_first),
+        )
+        harness = a_relay_harness(dying, retries=60)
+        caller = generation_caller()
+        serving = asyncio.ensure_future(harness.serve(caller))
         await asyncio.sleep(0.1)
-        site.fleet.remove("e1")
-        add(site, full)
+        harness.fleet.remove("e1")
+        add(harness, full)
         await serving
-        assert heard_whole(caller)
-        assert len(full.asked) < 50
+        assert received_complete_stream(caller)
+        assert len(full.requests) < 50
 
     run(play)
 
@@ -58,18 +65,21 @@
     # The stream's engine dies while the retry budget is spent. The window
     # frees a retry within the seconds that are left.
     async def play() -> None:
-        dying, spare = Engine("e1", breaks), Engine("e2", goes_on)
-        site = a_site(dying, repeats=1, window_s=4.0)
-        assert site.window.reserve()
-        site.window.consume()
-        caller = asks()
-        serving = asyncio.ensure_future(site.serve(caller))
+        dying, spare = (
+            ScriptedEngine("e1", loses_connection),
+            ScriptedEngine("e2", completes_stream),
+        )
+        harness = a_relay_harness(dying, retries=1, window_s=4.0)
+        assert harness.window.reserve()
+        harness.window.consume()
+        caller = generation_caller()
+        serving = asyncio.ensure_future(harness.serve(caller))
         await asyncio.sleep(0.1)
-        site.fleet.remove("e1")
-        add(site, spare)
+        harness.fleet.remove("e1")
+        add(harness, spare)
         await serving
-        assert heard_whole(caller)
-        assert spare.asked_at_s[0] - dying.asked_at_s[0] < 4.5
+        assert received_complete_stream(caller)
+        assert spare.received_at_s[0] - dying.received_at_s[0] < 4.5
 
     run(play)
 
@@ -79,17 +89,20 @@
     async def play() -> None:
         loop = asyncio.get_running_loop()
         begun_s = loop.time()
-        dying, full = Engine("e1", breaks), Engine("e2", refuses)
-        site = a_site(dying, repeats=1000)
-        caller = asks(wait_ms=3_000)
-        serving = asyncio.ensure_future(site.serve(caller))
+        dying, full = (
+            ScriptedEngine("e1", loses_connection),
+            ScriptedEngine("e2", refuses),
+        )
+        harness = a_relay_harness(dying, retries=1000)
+        caller = generation_caller(wait_ms=3_000)
+        serving = asyncio.ensure_future(harness.serve(caller))
         await asyncio.sleep(0.1)
-        site.fleet.remove("e1")
-        add(site, full)
+        harness.fleet.remove("e1")
+        add(harness, full)
         await serving
-        assert caller.cut
+        assert caller.aborted
         assert 2.9 < loop.time() - begun_s < 3.2
-        assert len(full.asked) < 60
+        assert len(full.requests) < 60
 
     run(play)
 
@@ -99,12 +112,14 @@
     # the next engine refuses it. Its caller would wait longer but does not
     # retry after a failure, so a 502 would lose the request.
     async def play() -> None:
-        does = in_turn(never_answers, refuses, goes_on)
+        script = one_script_each(never_responds, refuses, completes_stream)
         route = replace(a_route(timeout_s=20.0), target_latency_s=4.0)
-        site = a_site(*all_do(2, does), repeats=1, window_s=4.0, route=route)
-        caller = asks()
-        await site.serve(caller)
-        assert heard_whole(caller)
+        harness = a_relay_harness(
+            *engines_following(2, script), retries=1, window_s=4.0, route=route
+        )
+        caller = generation_caller()
+        await harness.serve(caller)
+        assert received_complete_stream(caller)
 
     run(play)
 
@@ -114,12 +129,14 @@
     # available, the time that a stream that was never sent may wait for an
     # engine is over.
     async def play() -> None:
-        does = in_turn(never_answers, refuses, goes_on)
+        script = one_script_each(never_responds, refuses, completes_stream)
         route = replace(a_route(timeout_s=20.0), target_latency_s=0.4)
-        site = a_site(*all_do(2, does), repeats=1, window_s=4.0, route=route)
-        caller = asks()
-        await site.serve(caller)
-        assert heard_whole(caller)
+        harness = a_relay_harness(
+            *engines_following(2, script), retries=1, window_s=4.0, route=route
+        )
+        caller = generation_caller()
+        await harness.serve(caller)
+        assert received_complete_stream(caller)
 
     run(play)
 
@@ -128,11 +145,11 @@
     # The sixth engine is dead. Refusals don't end a stream that may have run,
     # so they must not make it stay with a dead engine either.
     async def play() -> None:
-        does = in_turn(*[refuses] * 5, never_answers, goes_on)
-        site = a_site(*all_do(8, does), repeats=60)
-        caller = asks()
-        await site.serve(caller)
-        assert heard_whole(caller)
+        script = one_script_each(*[refuses] * 5, never_responds, completes_stream)
+        harness = a_relay_harness(*engines_following(8, script), retries=60)
+        caller = generation_caller()
+        await harness.serve(caller)
+        assert received_complete_stream(caller)
 
     run(play)
 
@@ -141,10 +158,12 @@
     # The other server refused the request. A 503 would state that it did not
     # run.
     async def play() -> None:
-        does = in_turn(answers_late, refuses, answers_soon)
-        site = a_site(*all_do(2, does), route=a_look_up_route())
-        caller = looks_up()
-        await site.serve(caller)
+        script = one_script_each(responds_slowly, refuses, responds_quickly)
+        harness = a_relay_harness(
+            *engines_following(2, script), route=a_plain_service_route()
+        )
+        caller = plain_service_caller()
+        await harness.serve(caller)
         assert caller.status == 200
 
     run(play)
@@ -154,10 +173,12 @@
     # The request left a silent server, and all others refuse it until its
     # deadline.
     async def play() -> None:
-        does = in_turn(never_answers, refuses)
-        site = a_site(*all_do(2, does), route=a_look_up_route())
-        caller = looks_up()
-        await site.serve(caller)
+        script = one_script_each(never_responds, refuses)
+        harness = a_relay_harness(
+            *engines_following(2, script), route=a_plain_service_route()
+        )
+        caller = plain_service_caller()
+        await harness.serve(caller)
         assert caller.status in (502, 504)
 
     run(play)
@@ -167,11 +188,13 @@
     # No other server is left, and the server's own response is more specific
     # than a refusal.
     async def play() -> None:
-        only = Engine("s1", lambda asked: [(0.01, answer(asked, 500, b"why"))])
-        site = a_site(only, route=a_look_up_route())
-        caller = looks_up()
-        await site.serve(caller)
-        assert caller.status == 500 and caller.heard == b"why"
+        only = ScriptedEngine(
+            "s1", lambda received: [(0.01, answer(received, 500, b"why"))]
+        )
+        harness = a_relay_harness(only, route=a_plain_service_route())
+        caller = plain_service_caller()
+        await harness.serve(caller)
+        assert caller.status == 500 and caller.received_body == b"why"
 
     run(play)
 
@@ -181,22 +204,24 @@
     # in four seconds. Both wait for an engine. If retries counted when
     # reserved, both would be sent at once when it comes up.
     async def play() -> None:
-        spare = Engine("e2", goes_on)
-        site = a_site(Engine("e1", breaks), repeats=1, window_s=4.0)
-        first, second = asks("q1"), asks("q2")
+        spare = ScriptedEngine("e2", completes_stream)
+        harness = a_relay_harness(
+            ScriptedEngine("e1", loses_connection), retries=1, window_s=4.0
+        )
+        first, second = generation_caller("q1"), generation_caller("q2")
         second.headers["Model"] = "m1"
-        serving = [asyncio.ensure_future(site.serve(first))]
+        serving = [asyncio.ensure_future(harness.serve(first))]
         await asyncio.sleep(0.1)
-        site.fleet.remove("e1")
+        harness.fleet.remove("e1")
         await asyncio.sleep(4.1)
-        add(site, Engine("e3", breaks), "m1")
-        serving.append(asyncio.ensure_future(site.serve(second)))
+        add(harness, ScriptedEngine("e3", loses_connection), "m1")
+        serving.append(asyncio.ensure_future(harness.serve(second)))
         await asyncio.sleep(0.1)
-        site.fleet.remove("e3")
+        harness.fleet.remove("e3")
         await asyncio.sleep(1.0)
-        add(site, spare, "m0", "m1")
+        add(harness, spare, "m0", "m1")
         await asyncio.gather(*serving)
-        assert heard_whole(first) and heard_whole(second)
-        assert spare.asked_at_s[1] - spare.asked_at_s[0] >= 4.0
+        assert received_complete_stream(first) and received_complete_stream(second)
+        assert spare.received_at_s[1] - spare.received_at_s[0] >= 4.0
 
     run(play)
--- a/tests/test_server_notices.py
+++ b/tests/test_server_notices.py
@@ -10,20 +10,20 @@
 
 import pytest
 from entry_builders import a_route, a_server, an_engine_spec
-from entry_harness import Asked, answer
-from fleet_world import play
-from outspoken_servers import OutspokenWorld
+from entry_harness import ReceivedRequest, answer
+from fleet_world import run_in_virtual_time
+from outspoken_servers import DepartureNoticeSimulation
 from timed_engines import (
     Caller,
-    Engine,
-    Site,
+    RelayHarness,
+    ScriptedEngine,
     Timetable,
-    a_look_up_route,
-    a_site,
-    asks,
-    goes_on,
-    heard_whole,
-    looks_up,
+    a_plain_service_route,
+    a_relay_harness,
+    completes_stream,
+    generation_caller,
+    plain_service_caller,
+    received_complete_stream,
     run,
     streams,
 )
@@ -51,7 +51,7 @@
 # ends.
 SENDS_IN_BACKOFF = 2
 
-Scenario = Callable[[OutspokenWorld], Awaitable[None]]
+Scenario = Callable[[DepartureNoticeSimulation], Awaitable[None]]
 
 
 def late_sends(
@@ -63,20 +63,20 @@
     seed: int = 7,
 ) -> list[float]:
     """Return how long after Server-Leaving requests still arrived."""
-    vms, drain_s, contact_s = size
-    world = OutspokenWorld(
-        drain_s=drain_s, contact_s=contact_s, rng=random.Random(seed)
+    vms, drain_s, settle_s = size
+    simulation = DepartureNoticeSimulation(
+        drain_s=drain_s, settle_s=settle_s, rng=random.Random(seed)
     )
 
     async def run_scenario() -> None:
-        await world.start(vms, monkeypatch, servers=servers)
+        await simulation.start(vms, monkeypatch, servers=servers)
         await asyncio.sleep(5.0)
-        await scenario(world)
-        await world.close()
+        await scenario(simulation)
+        await simulation.close()
 
-    play(run_scenario)
-    assert world.told_s
-    return sorted(world.late_after_s, reverse=True)[:5]
+    run_in_virtual_time(run_scenario)
+    assert simulation.notified_at_s
+    return sorted(simulation.late_by_s, reverse=True)[:5]
 
 
 # Guards against relying on the store alone, which may list a leaving server
@@ -85,8 +85,8 @@
 def test_a_server_that_sends_leaving_gets_no_requests_before_the_store_lists_it(
     monkeypatch: pytest.MonkeyPatch, size: tuple[int, float, float]
 ) -> None:
-    async def scenario(world: OutspokenWorld) -> None:
-        world.say_leaving("i-1")
+    async def scenario(simulation: DepartureNoticeSimulation) -> None:
+        simulation.announce_departure("i-1")
         await asyncio.sleep(12.0)
 
     assert late_sends(monkeypatch, size, scenario) == []
@@ -98,13 +98,13 @@
 def test_a_restored_entry_does_not_override_the_leaving_notice(
     monkeypatch: pytest.MonkeyPatch, size: tuple[int, float, float]
 ) -> None:
-    async def scenario(world: OutspokenWorld) -> None:
-        world.say_leaving("i-1")
+    async def scenario(simulation: DepartureNoticeSimulation) -> None:
+        simulation.announce_departure("i-1")
         await asyncio.sleep(1.0)
-        world.leave("i-1")
+        simulation.start_departure("i-1")
         await asyncio.sleep(4.0)
-        world.left_s.clear()
-        world.enter("i-1")
+        simulation.departed_at_s.clear()
+        simulation.write_entry("i-1")
         await asyncio.sleep(8.0)
 
     assert late_sends(monkeypatch, size, scenario) == []
@@ -120,50 +120,56 @@
     rng = random.Random(seed)
     size = rng.choice([(3, 2.0, 3.0), (9, 2.0, 3.0), (26, 3.0, 4.0)])
 
-    async def scenario(world: OutspokenWorld) -> None:
-        world.lost_share = rng.choice([0.0, 0.1, 0.3])
+    async def scenario(simulation: DepartureNoticeSimulation) -> None:
+        simulation.lost_share = rng.choice([0.0, 0.1, 0.3])
         names = [f"i-{number}" for number in range(8)]
         for name in rng.sample(names, 4):
-            world.say_leaving(name)
+            simulation.announce_departure(name)
             match rng.randrange(5):
                 case 0:
-                    await world.go_down(for_s=rng.uniform(1.0, 6.0), lapse=[name])
+                    await simulation.fail_store(
+                        for_s=rng.uniform(1.0, 6.0), expiring=[name]
+                    )
                 case 1:
-                    world.turn_away(*rng.sample(sorted(world.nodes), 2))
+                    simulation.block(*rng.sample(sorted(simulation.nodes), 2))
                 case 2:
-                    await world.forget_history()
+                    await simulation.compact_history()
                 case 3:
-                    world.enter(name)
+                    simulation.write_entry(name)
             await asyncio.sleep(rng.uniform(0.1, 4.0))
-            world.take_back()
+            simulation.unblock()
         await asyncio.sleep(5.0)
 
     assert late_sends(monkeypatch, size, scenario, servers=8, seed=seed) == []
 
 
-def sheds(asked: Asked, *, retry_after_s: float = RETRY_AFTER_S) -> Timetable:
+def sheds(
+    received: ReceivedRequest, *, retry_after_s: float = RETRY_AFTER_S
+) -> Timetable:
     """Reject a request without running it, with a Retry-After."""
     extra = f"Not-Executed: 1\r\nRetry-After: {retry_after_s:.2f}\r\n"
-    return [(0.005, answer(asked, 503, b"", extra))]
+    return [(0.005, answer(received, 503, b"", extra))]
 
 
-def sheds_once(does: Callable[[Asked], Timetable]) -> Callable[[Asked], Timetable]:
-    """Reject the first request and handle later ones with `does`."""
+def sheds_once(
+    script: Callable[[ReceivedRequest], Timetable],
+) -> Callable[[ReceivedRequest], Timetable]:
+    """Reject the first request and handle later ones with `script`."""
     asked_before = False
 
-    def do(asked: Asked) -> Timetable:
+    def do(received: ReceivedRequest) -> Timetable:
         nonlocal asked_before
         first, asked_before = not asked_before, True
-        return sheds(asked) if first else does(asked)
+        return sheds(received) if first else script(received)
 
     return do
 
 
-def sends_in_backoff(engine: Engine) -> int:
+def sends_in_backoff(engine: ScriptedEngine) -> int:
     """Count the requests that reached a server during its backoff."""
     backoff_until_s = enforced_from_s = -1e9
     late = 0
-    for at_s in engine.asked_at_s:
+    for at_s in engine.received_at_s:
         late += enforced_from_s < at_s < backoff_until_s
         if at_s >= backoff_until_s:
             enforced_from_s, backoff_until_s = (
@@ -173,10 +179,12 @@
     return late
 
 
-async def serve_many(site: Site, callers: list[Caller], *, each_s: float) -> None:
+async def serve_many(
+    harness: RelayHarness, callers: list[Caller], *, each_s: float
+) -> None:
     await asyncio.gather(
         *(
-            site.serve(caller, after_s=each_s * number)
+            harness.serve(caller, after_s=each_s * number)
             for number, caller in enumerate(callers)
         )
     )
@@ -185,10 +193,12 @@
 # Guards against retrying a server that sheds load every 0.1 s.
 def test_streams_back_off_from_an_engine_that_sheds_load() -> None:
     async def play_site() -> None:
-        engine = Engine("e1", sheds)
-        site = a_site(engine, repeats=100.0)
-        callers = [asks(f"q{number}", wait_ms=4000) for number in range(40)]
-        await serve_many(site, callers, each_s=0.1)
+        engine = ScriptedEngine("e1", sheds)
+        harness = a_relay_harness(engine, retries=100.0)
+        callers = [
+            generation_caller(f"q{number}", wait_ms=4000) for number in range(40)
+        ]
+        await serve_many(harness, callers, each_s=0.1)
         assert sends_in_backoff(engine) <= SENDS_IN_BACKOFF
 
     run(play_site)
@@ -197,10 +207,10 @@
 # Guards against the same at a plain service, whose requests wait only briefly.
 def test_plain_requests_back_off_from_a_server_that_sheds_load() -> None:
     async def play_site() -> None:
-        engine = Engine("e1", sheds)
-        site = a_site(engine, repeats=100.0, route=a_look_up_route())
-        callers = [looks_up() for _ in range(40)]
-        await serve_many(site, callers, each_s=0.1)
+        engine = ScriptedEngine("e1", sheds)
+        harness = a_relay_harness(engine, retries=100.0, route=a_plain_service_route())
+        callers = [plain_service_caller() for _ in range(40)]
+        await serve_many(harness, callers, each_s=0.1)
         assert sends_in_backoff(engine) <= SENDS_IN_BACKOFF
 
     run(play_site)
@@ -212,14 +222,14 @@
     None
 ):
     async def play_site() -> None:
-        engine = Engine("e1", sheds)
+        engine = ScriptedEngine("e1", sheds)
         route = a_route(timeout_s=2.0)
-        site = a_site(engine, route=route)
-        first, second = asks("q1"), asks("q2")
-        await site.serve(first)
+        harness = a_relay_harness(engine, route=route)
+        first, second = generation_caller("q1"), generation_caller("q2")
+        await harness.serve(first)
         loop = asyncio.get_running_loop()
         asked_s = loop.time()
-        await site.serve(second)
+        await harness.serve(second)
         assert loop.time() - asked_s < 0.01
         assert second.status == 503
         assert float(second.retry_after) > RETRY_AFTER_S - 0.1
@@ -230,11 +240,13 @@
 # Guards against all waiting requests being sent at once when a backoff ends.
 def test_after_a_backoff_one_request_probes_the_server_before_the_others() -> None:
     async def play_site() -> None:
-        engine = Engine("e1", sheds_once(lambda asked: streams(asked, 0.2, until=8)))
-        site = a_site(engine, repeats=100.0, route=a_route(timeout_s=20.0))
-        callers = [asks(f"q{number}") for number in range(6)]
-        await serve_many(site, callers, each_s=0.01)
-        after = [at_s - engine.asked_at_s[0] for at_s in engine.asked_at_s[1:]]
+        engine = ScriptedEngine(
+            "e1", sheds_once(lambda received: streams(received, 0.2, until=8))
+        )
+        harness = a_relay_harness(engine, retries=100.0, route=a_route(timeout_s=20.0))
+        callers = [generation_caller(f"q{number}") for number in range(6)]
+        await serve_many(harness, callers, each_s=0.01)
+        after = [at_s - engine.received_at_s[0] for at_s in engine.received_at_s[1:]]
         in_backoff = [at_s for at_s in after if BACKOFF_GRACE_S < at_s < RETRY_AFTER_S]
         together = [
             at_s for at_s in after if RETRY_AFTER_S <= at_s < RETRY_AFTER_S + 0.15
@@ -249,11 +261,14 @@
 # is available.
 def test_a_request_goes_to_another_engine_while_one_sheds_load() -> None:
     async def play_site() -> None:
-        shedding, other = Engine("e1", sheds), Engine("e2", goes_on)
-        site = a_site(shedding, other, repeats=100.0)
-        callers = [asks(f"q{number}") for number in range(20)]
-        await serve_many(site, callers, each_s=0.1)
-        assert all(heard_whole(caller) for caller in callers)
+        shedding, other = (
+            ScriptedEngine("e1", sheds),
+            ScriptedEngine("e2", completes_stream),
+        )
+        harness = a_relay_harness(shedding, other, retries=100.0)
+        callers = [generation_caller(f"q{number}") for number in range(20)]
+        await serve_many(harness, callers, each_s=0.1)
+        assert all(received_complete_stream(caller) for caller in callers)
         assert sends_in_backoff(shedding) <= SENDS_IN_BACKOFF
 
     run(play_site)
@@ -347,21 +362,21 @@
     in_backoff: int = 0
     worst: int = 0
 
-    def do(self, asked: Asked) -> Timetable:
+    def do(self, received: ReceivedRequest) -> Timetable:
         now_s = asyncio.get_running_loop().time()
         if now_s < self.backoff_until_s:
             self.in_backoff += now_s > self.enforced_from_s
             self.worst = max(self.worst, self.in_backoff)
-            return sheds(asked, retry_after_s=self.backoff_until_s - now_s)
+            return sheds(received, retry_after_s=self.backoff_until_s - now_s)
         if self.rng.random() < 0.7:
-            return streams(asked, 0.05, until=8)
+            return streams(received, 0.05, until=8)
         retry_after_s = self.rng.uniform(0.2, 4.0)
         self.in_backoff = 0
         self.enforced_from_s, self.backoff_until_s = (
             now_s + BACKOFF_GRACE_S,
             now_s + retry_after_s,
         )
-        return sheds(asked, retry_after_s=retry_after_s)
+        return sheds(received, retry_after_s=retry_after_s)
 
 
 # Guards against requests oscillating between servers when several back off at
@@ -371,12 +386,16 @@
     async def play_site() -> None:
         rng = random.Random(seed)
         shedding = [SheddingServer(rng) for _ in range(rng.choice([1, 2, 5]))]
-        engines = [Engine(f"e{n}", one.do) for n, one in enumerate(shedding)]
-        site = a_site(*engines, repeats=100.0)
-        callers = [asks(f"q{number}", wait_ms=5000) for number in range(100)]
-        await serve_many(site, callers, each_s=rng.uniform(0.01, 0.1))
+        engines = [ScriptedEngine(f"e{n}", one.do) for n, one in enumerate(shedding)]
+        harness = a_relay_harness(*engines, retries=100.0)
+        callers = [
+            generation_caller(f"q{number}", wait_ms=5000) for number in range(100)
+        ]
+        await serve_many(harness, callers, each_s=rng.uniform(0.01, 0.1))
         assert max(one.worst for one in shedding) <= SENDS_IN_BACKOFF
         for caller in callers:
-            assert heard_whole(caller) or (caller.status == 503 and caller.retry_after)
+            assert received_complete_stream(caller) or (
+                caller.status == 503 and caller.retry_after
+            )
 
     run(play_site)
--- a/tests/test_silent_backends.py
+++ b/tests/test_silent_backends.py
@@ -11,10 +11,10 @@
 
 import pytest
 from builders import end_events, token_event
-from entry_harness import Asked, answer, chunk, stream_head
+from entry_harness import ReceivedRequest, answer, chunk, stream_head
 from opentelemetry import trace
 from opentelemetry.sdk.metrics import MeterProvider
-from timed_engines import END, Engine, TimedPool, Timetable, answers, run
+from timed_engines import END, ScriptedEngine, TimedPool, Timetable, responds, run
 from virtual_time import LoopClock
 
 from rosepath.backend import Generation
@@ -27,28 +27,28 @@
 from rosepath.telemetry import Telemetry
 
 
-def responds_late(asked: Asked) -> Timetable:
+def responds_late(received: ReceivedRequest) -> Timetable:
     """Respond after more than the progress timeout."""
-    return answers(asked, after_s=12.0)
+    return responds(received, after_s=12.0)
 
 
-def responds_soon(asked: Asked) -> Timetable:
-    return answers(asked, after_s=0.1)
+def responds_soon(received: ReceivedRequest) -> Timetable:
+    return responds(received, after_s=0.1)
 
 
-def never_responds(asked: Asked) -> Timetable:
+def never_responds(received: ReceivedRequest) -> Timetable:
     """Accept a request and never respond, with the connection open."""
     return []
 
 
-def tokens(asked: Asked, *at_s: float, ends: bool = True) -> Timetable:
+def tokens(received: ReceivedRequest, *at_s: float, ends: bool = True) -> Timetable:
     """Send the tokens from the request's offset up to the fourth.
 
     The times are those of the tokens; the last one is reused for the rest.
     """
-    body = json.loads(asked.body)
+    body = json.loads(received.body)
     request_id, first = body["request_id"], body["offset"]
-    steps = [(0.01, stream_head(asked))]
+    steps = [(0.01, stream_head(received))]
     for at in range(first, 4):
         due_s = at_s[min(at - first, len(at_s) - 1)]
         steps.append((due_s, chunk(token_event(request_id, at, at + 1))))
@@ -57,13 +57,13 @@
     return steps
 
 
-def preempts(asked: Asked) -> Timetable:
+def preempts(received: ReceivedRequest) -> Timetable:
     """Send a token, preempt the stream for 25 seconds, and send the rest."""
-    return tokens(asked, 0.1, 25.1)
+    return tokens(received, 0.1, 25.1)
 
 
-def completes(asked: Asked) -> Timetable:
-    return tokens(asked, 0.1)
+def completes(received: ReceivedRequest) -> Timetable:
+    return tokens(received, 0.1)
 
 
 @dataclass(slots=True)
@@ -116,7 +116,7 @@
     )
 
 
-def make_daemon(*engines: Engine, retries: float = 3.0) -> DaemonUnderTest:
+def make_daemon(*engines: ScriptedEngine, retries: float = 3.0) -> DaemonUnderTest:
     """Build a daemon's dispatcher that prefers the servers in this order."""
     tables = Tables()
     for number, engine in enumerate(engines):
@@ -154,10 +154,13 @@
     # that it may be retried. The server takes 12 s; the caller would get a 502
     # with run "unknown" while most of its time was left.
     async def scenario() -> None:
-        first, second = Engine("s1", responds_late), Engine("s2", responds_soon)
+        first, second = (
+            ScriptedEngine("s1", responds_late),
+            ScriptedEngine("s2", responds_soon),
+        )
         daemon = make_daemon(first, second)
         assert await daemon.call(idempotent=False) == 200
-        assert not first.cut_at_s and not second.asked
+        assert not first.aborted_at_s and not second.requests
 
     run(scenario)
 
@@ -165,10 +168,13 @@
 def test_a_call_is_not_aborted_when_the_retry_budget_is_spent() -> None:
     # Guards against aborting an idempotent call that cannot be retried.
     async def scenario() -> None:
-        first, second = Engine("s1", responds_late), Engine("s2", responds_soon)
+        first, second = (
+            ScriptedEngine("s1", responds_late),
+            ScriptedEngine("s2", responds_soon),
+        )
         daemon = make_daemon(first, second, retries=0)
         assert await daemon.call(idempotent=True) == 200
-        assert not first.cut_at_s and not second.asked
+        assert not first.aborted_at_s and not second.requests
 
     run(scenario)
 
@@ -179,12 +185,15 @@
     # there is none: each retry would go to the same slow server, and the last
     # one would be aborted as well.
     async def scenario() -> None:
-        first, second = Engine("s1", responds_late), Engine("s2", responds_soon)
+        first, second = (
+            ScriptedEngine("s1", responds_late),
+            ScriptedEngine("s2", responds_soon),
+        )
         daemon = make_daemon(first, second) if full else make_daemon(first)
         if full:
             fill_slots(daemon, "s2")
         assert await daemon.call(idempotent=True) == 200
-        assert len(first.asked) == 1 and not second.asked
+        assert len(first.requests) == 1 and not second.requests
 
     run(scenario)
 
@@ -194,10 +203,10 @@
     # another server, each for one retry of the budget; after the fourth no
     # further attempt is allowed.
     async def scenario() -> None:
-        servers = [Engine(f"s{number}", responds_late) for number in range(4)]
+        servers = [ScriptedEngine(f"s{number}", responds_late) for number in range(4)]
         daemon = make_daemon(*servers)
         assert await daemon.call(idempotent=True) == 200
-        aborted = [bool(server.cut_at_s) for server in servers]
+        aborted = [bool(server.aborted_at_s) for server in servers]
         assert aborted == [True, True, True, False]
         assert daemon.dispatcher.budget.balance == 0
 
@@ -207,7 +216,9 @@
 def test_a_call_is_retried_when_its_server_falls_silent() -> None:
     # The attempt is aborted after 10 s and takes one retry from the budget.
     async def scenario() -> None:
-        daemon = make_daemon(Engine("s1", never_responds), Engine("s2", responds_soon))
+        daemon = make_daemon(
+            ScriptedEngine("s1", never_responds), ScriptedEngine("s2", responds_soon)
+        )
         assert await daemon.call(idempotent=True) == 200
         assert daemon.took_s < 10.5
         assert daemon.dispatcher.budget.balance == 2
@@ -218,7 +229,9 @@
 def test_a_kept_call_is_retried_once_another_server_is_free() -> None:
     # The check is repeated: 10 s later the other server has a free slot.
     async def scenario() -> None:
-        daemon = make_daemon(Engine("s1", never_responds), Engine("s2", responds_soon))
+        daemon = make_daemon(
+            ScriptedEngine("s1", never_responds), ScriptedEngine("s2", responds_soon)
+        )
         fill_slots(daemon, "s2")
         calling = asyncio.ensure_future(daemon.call(idempotent=True))
         await asyncio.sleep(15.0)
@@ -232,7 +245,7 @@
 def test_a_kept_call_fails_at_its_deadline() -> None:
     # The request's deadline ends the wait, not the next check of the server.
     async def scenario() -> None:
-        daemon = make_daemon(Engine("s1", never_responds))
+        daemon = make_daemon(ScriptedEngine("s1", never_responds))
         with pytest.raises(RefusalError) as caught:
             await daemon.call(idempotent=False, deadline_in_s=25.0)
         assert caught.value.refusal.run is Run.UNKNOWN
@@ -250,10 +263,10 @@
     # Guards against aborting a stream that a full engine preempts for 25 s:
     # the caller would get an error event with run "partial" in mid-stream.
     async def scenario() -> None:
-        first, second = Engine("e1", preempts), Engine("e2", completes)
+        first, second = ScriptedEngine("e1", preempts), ScriptedEngine("e2", completes)
         daemon = make_daemon(first, second, retries=retries)
         assert (await daemon.generate(idempotent=idempotent)).endswith(b"[DONE]\n\n")
-        assert not first.cut_at_s and not second.asked
+        assert not first.aborted_at_s and not second.requests
 
     run(scenario)
 
@@ -261,11 +274,11 @@
 def test_a_generation_is_not_retried_at_its_only_engine_if_full() -> None:
     # A retry would queue behind the requests for which it was preempted.
     async def scenario() -> None:
-        engine = Engine("e1", preempts)
+        engine = ScriptedEngine("e1", preempts)
         daemon = make_daemon(engine)
         fill_slots(daemon, "e1")
         assert (await daemon.generate(idempotent=True)).endswith(b"[DONE]\n\n")
-        assert len(engine.asked) == 1
+        assert len(engine.requests) == 1
 
     run(scenario)
 
@@ -275,14 +288,16 @@
     # attempt resumes after the last token; waiting would last until the
     # deadline.
     async def scenario() -> None:
-        def loses_first_stream(asked: Asked) -> Timetable:
-            first = json.loads(asked.body)["offset"] == 0
-            return tokens(asked, 0.1, ends=False)[:2] if first else completes(asked)
+        def loses_first_stream(received: ReceivedRequest) -> Timetable:
+            first = json.loads(received.body)["offset"] == 0
+            return (
+                tokens(received, 0.1, ends=False)[:2] if first else completes(received)
+            )
 
-        engine = Engine("e1", loses_first_stream)
+        engine = ScriptedEngine("e1", loses_first_stream)
         daemon = make_daemon(engine)
         assert (await daemon.generate(idempotent=True)).endswith(b"[DONE]\n\n")
-        assert len(engine.asked) == 2
+        assert len(engine.requests) == 2
         assert daemon.dispatcher.budget.balance == 2
 
     run(scenario)
@@ -291,29 +306,36 @@
 def test_a_generation_resumes_elsewhere_when_its_engine_falls_silent() -> None:
     # It resumes after its last token and takes one retry from the budget.
     async def scenario() -> None:
-        first = Engine("e1", lambda asked: tokens(asked, 0.1, ends=False)[:2])
-        second = Engine("e2", completes)
+        first = ScriptedEngine(
+            "e1", lambda received: tokens(received, 0.1, ends=False)[:2]
+        )
+        second = ScriptedEngine("e2", completes)
         daemon = make_daemon(first, second)
         assert (await daemon.generate(idempotent=True)).endswith(b"[DONE]\n\n")
-        assert json.loads(second.asked[0].body)["offset"] == 1
+        assert json.loads(second.requests[0].body)["offset"] == 1
         assert daemon.dispatcher.budget.balance == 2
 
     run(scenario)
 
 
-def sheds_load(asked: Asked) -> Timetable:
+def sheds_load(received: ReceivedRequest) -> Timetable:
     """Refuse a call without running it, with a Retry-After of 3 s."""
-    return [(0.01, answer(asked, 503, b"", "Rosepath-Run: no\r\nRetry-After: 3\r\n"))]
+    return [
+        (0.01, answer(received, 503, b"", "Rosepath-Run: no\r\nRetry-After: 3\r\n"))
+    ]
 
 
 # Guards against sending each call to a server that is shedding load.
 def test_a_server_that_sheds_load_is_not_called_during_its_backoff() -> None:
     async def scenario() -> None:
-        first, second = Engine("s1", sheds_load), Engine("s2", responds_soon)
+        first, second = (
+            ScriptedEngine("s1", sheds_load),
+            ScriptedEngine("s2", responds_soon),
+        )
         daemon = make_daemon(first, second, retries=100.0)
         for _ in range(20):
             assert await daemon.call(idempotent=True) == 200
-        assert len(first.asked) == 1
+        assert len(first.requests) == 1
 
     run(scenario)
 
@@ -321,13 +343,13 @@
 # Guards against a Retry-After that ends while all servers still shed load.
 def test_retry_after_is_the_end_of_the_first_servers_backoff() -> None:
     async def scenario() -> None:
-        first = Engine("s1", sheds_load)
+        first = ScriptedEngine("s1", sheds_load)
         daemon = make_daemon(first, retries=100.0)
         for _ in range(2):
             with pytest.raises(RefusalError) as refused:
                 await daemon.call(idempotent=True)
             assert refused.value.refusal.run is Run.NO
             assert refused.value.refusal.retry_after_s == pytest.approx(3.0, abs=0.1)
-        assert len(first.asked) == 1
+        assert len(first.requests) == 1
 
     run(scenario)
--- a/tests/test_silent_servers.py
+++ b/tests/test_silent_servers.py
@@ -11,30 +11,30 @@
 from dataclasses import replace
 
 from entry_builders import a_route, an_entry
-from entry_harness import Asked
+from entry_harness import ReceivedRequest
 from timed_engines import (
     AdapterLoads,
-    Engine,
+    ScriptedEngine,
     Timetable,
-    a_look_up_route,
-    a_site,
+    a_plain_service_route,
+    a_relay_harness,
     add,
-    all_do,
-    answers,
-    answers_late,
-    answers_soon,
-    asks,
-    fill,
-    goes_dark,
-    goes_on,
-    heard_whole,
-    in_turn,
-    looks_up,
-    never_answers,
-    only_first_is_set_aside,
+    completes_stream,
+    engines_following,
+    generation_caller,
+    never_responds,
+    occupy_all_slots,
+    one_script_each,
+    pauses_first_request,
+    pauses_generation,
+    plain_service_caller,
+    received_complete_stream,
     refuses,
+    responds,
+    responds_quickly,
+    responds_slowly,
     run,
-    sets_aside,
+    stops_sending,
     streams,
 )
 from virtual_time import START_S
@@ -48,12 +48,15 @@
     # closed in the middle of the stream, although the engine would have
     # resumed it well before the deadline.
     async def play() -> None:
-        engines = Engine("e1", sets_aside), Engine("e2", sets_aside)
-        site = a_site(*engines, repeats=0)
-        caller = asks()
-        await site.serve(caller)
-        assert heard_whole(caller)
-        assert sum(len(engine.asked) for engine in engines) == 1
+        engines = (
+            ScriptedEngine("e1", pauses_generation),
+            ScriptedEngine("e2", pauses_generation),
+        )
+        harness = a_relay_harness(*engines, retries=0)
+        caller = generation_caller()
+        await harness.serve(caller)
+        assert received_complete_stream(caller)
+        assert sum(len(engine.requests) for engine in engines) == 1
 
     run(play)
 
@@ -62,13 +65,13 @@
     # A retry is available, but all slots elsewhere are taken. Other engines
     # would refuse the stream repeatedly until it is cut.
     async def play() -> None:
-        engines = Engine("e1", sets_aside), Engine("e2", refuses)
-        site = a_site(*engines)
-        fill(site, "e2")
-        caller = asks()
-        await site.serve(caller)
-        assert heard_whole(caller)
-        assert len(engines[0].asked) == 1 and not engines[1].asked
+        engines = ScriptedEngine("e1", pauses_generation), ScriptedEngine("e2", refuses)
+        harness = a_relay_harness(*engines)
+        occupy_all_slots(harness, "e2")
+        caller = generation_caller()
+        await harness.serve(caller)
+        assert received_complete_stream(caller)
+        assert len(engines[0].requests) == 1 and not engines[1].requests
 
     run(play)
 
@@ -78,17 +81,17 @@
     # cost a retry and another prefill of the prompt. The route has a long
     # timeout, as batch work has.
     async def play() -> None:
-        engine = Engine("e1", only_first_is_set_aside)
+        engine = ScriptedEngine("e1", pauses_first_request)
         route = replace(a_route(timeout_s=20.0), target_latency_s=4.0)
-        site = a_site(engine, route=route)
-        first, second = asks("q1"), asks("q2")
-        serving = asyncio.gather(site.serve(first), site.serve(second))
+        harness = a_relay_harness(engine, route=route)
+        first, second = generation_caller("q1"), generation_caller("q2")
+        serving = asyncio.gather(harness.serve(first), harness.serve(second))
         await asyncio.sleep(0)
-        spare = Engine("e2", goes_on)
-        add(site, spare)
+        spare = ScriptedEngine("e2", completes_stream)
+        add(harness, spare)
         await serving
-        assert heard_whole(first)
-        assert not spare.asked
+        assert received_complete_stream(first)
+        assert not spare.requests
 
     run(play)
 
@@ -98,16 +101,19 @@
     # connection. The stream resumes after its last event at another engine
     # with a free slot.
     async def play() -> None:
-        silent, spare = Engine("e1", goes_dark), Engine("e2", goes_on)
-        site = a_site(silent)
-        caller = asks()
-        serving = asyncio.ensure_future(site.serve(caller))
+        silent, spare = (
+            ScriptedEngine("e1", stops_sending),
+            ScriptedEngine("e2", completes_stream),
+        )
+        harness = a_relay_harness(silent)
+        caller = generation_caller()
+        serving = asyncio.ensure_future(harness.serve(caller))
         await asyncio.sleep(0.1)
-        add(site, spare)
+        add(harness, spare)
         await serving
-        assert heard_whole(caller)
-        assert spare.asked[0].headers["last-event-id"] == "2"
-        assert spare.asked_at_s[0] - silent.asked_at_s[0] < 2.0
+        assert received_complete_stream(caller)
+        assert spare.requests[0].headers["last-event-id"] == "2"
+        assert spare.received_at_s[0] - silent.received_at_s[0] < 2.0
 
     run(play)
 
@@ -115,15 +121,18 @@
 def test_a_stream_that_stayed_leaves_once_a_slot_is_free() -> None:
     # At first no other engine has a free slot; the check is repeated.
     async def play() -> None:
-        silent, spare = Engine("e1", goes_dark), Engine("e2", goes_on)
-        site = a_site(silent)
-        caller = asks()
-        serving = asyncio.ensure_future(site.serve(caller))
+        silent, spare = (
+            ScriptedEngine("e1", stops_sending),
+            ScriptedEngine("e2", completes_stream),
+        )
+        harness = a_relay_harness(silent)
+        caller = generation_caller()
+        serving = asyncio.ensure_future(harness.serve(caller))
         await asyncio.sleep(5.0)
-        add(site, spare)
+        add(harness, spare)
         await serving
-        assert heard_whole(caller)
-        assert spare.asked_at_s[0] - silent.asked_at_s[0] < 7.0
+        assert received_complete_stream(caller)
+        assert spare.received_at_s[0] - silent.received_at_s[0] < 7.0
 
     run(play)
 
@@ -133,12 +142,12 @@
     # reserved retry would turn it into a 502.
     async def play() -> None:
         route = a_route(kind=RouteKind.IDEMPOTENT, service="desk", timeout_s=5.0)
-        slow = Engine("s1", lambda asked: answers(asked, after_s=1.0))
-        site = a_site(slow, repeats=0, route=route)
-        caller = asks()
-        await site.serve(caller)
-        assert caller.status == 200 and caller.heard == b"whole"
-        assert not slow.cut_at_s
+        slow = ScriptedEngine("s1", lambda received: responds(received, after_s=1.0))
+        harness = a_relay_harness(slow, retries=0, route=route)
+        caller = generation_caller()
+        await harness.serve(caller)
+        assert caller.status == 200 and caller.received_body == b"whole"
+        assert not slow.aborted_at_s
 
     run(play)
 
@@ -147,12 +156,12 @@
     # The same failure before the first event: the request is queued at its
     # engine for longer than predicted.
     async def play() -> None:
-        late = Engine("e1", lambda asked: streams(asked, 6.0, until=8))
-        site = a_site(late, Engine("e2", refuses), repeats=0)
-        fill(site, "e2")
-        caller = asks()
-        await site.serve(caller)
-        assert heard_whole(caller)
+        late = ScriptedEngine("e1", lambda received: streams(received, 6.0, until=8))
+        harness = a_relay_harness(late, ScriptedEngine("e2", refuses), retries=0)
+        occupy_all_slots(harness, "e2")
+        caller = generation_caller()
+        await harness.serve(caller)
+        assert received_complete_stream(caller)
 
     run(play)
 
@@ -160,15 +169,20 @@
 def test_a_stream_moves_to_an_engine_that_refused_it_before() -> None:
     # The engine was full and now has a free slot. The earlier refusal must not
     # keep the stream with an engine that has died since.
-    for silent, events in ((goes_dark, 2), (never_answers, 0)):
+    for silent, events in ((stops_sending, 2), (never_responds, 0)):
 
         async def play(
-            silent: Callable[[Asked], Timetable] = silent, events: int = events
+            silent: Callable[[ReceivedRequest], Timetable] = silent,
+            events: int = events,
         ) -> None:
-            site = a_site(*all_do(2, in_turn(refuses, silent, goes_on)))
-            caller = asks()
-            await site.serve(caller)
-            assert heard_whole(caller), (events, caller.events)
+            harness = a_relay_harness(
+                *engines_following(
+                    2, one_script_each(refuses, silent, completes_stream)
+                )
+            )
+            caller = generation_caller()
+            await harness.serve(caller)
+            assert received_complete_stream(caller), (events, caller.events)
 
         run(play)
 
@@ -177,13 +191,17 @@
     # The other engine has the model and a free slot, and loads the adapter on
     # request.
     async def play() -> None:
-        site = a_site(Engine("e1", goes_dark), Engine("e2", goes_on))
-        site.fleet.put(an_entry("e1", address="e1:1", models={"m0": frozenset({"a1"})}))
-        site.relay._ports.models = AdapterLoads()
-        caller = asks()
+        harness = a_relay_harness(
+            ScriptedEngine("e1", stops_sending), ScriptedEngine("e2", completes_stream)
+        )
+        harness.fleet.put(
+            an_entry("e1", address="e1:1", models={"m0": frozenset({"a1"})})
+        )
+        harness.relay._ports.models = AdapterLoads()
+        caller = generation_caller()
         caller.headers["Model"] = "m0/a1"
-        await site.serve(caller)
-        assert heard_whole(caller)
+        await harness.serve(caller)
+        assert received_complete_stream(caller)
 
     run(play)
 
@@ -192,10 +210,12 @@
     # Servers of a plain service hold no models, so a model named by the caller
     # does not restrict the choice of server.
     async def play() -> None:
-        does = in_turn(never_answers, answers_soon)
-        site = a_site(*all_do(2, does), route=a_look_up_route())
-        caller = looks_up(model=True)
-        await site.serve(caller)
+        script = one_script_each(never_responds, responds_quickly)
+        harness = a_relay_harness(
+            *engines_following(2, script), route=a_plain_service_route()
+        )
+        caller = plain_service_caller(model=True)
+        await harness.serve(caller)
         assert caller.status == 200
 
     run(play)
@@ -205,21 +225,21 @@
     # The engine serves others and never resumes this stream. The caller leaves
     # after eight target gaps, and another engine has a free slot.
     async def play() -> None:
-        def never_comes_back(asked: Asked) -> Timetable:
-            if asked.request_id == "q1":
-                return goes_dark(asked)
-            return only_first_is_set_aside(asked)
-
-        site = a_site(Engine("e1", never_comes_back))
-        first, second = asks("q1"), asks("q2")
-        serving = asyncio.gather(site.serve(first), site.serve(second))
+        def never_comes_back(received: ReceivedRequest) -> Timetable:
+            if received.request_id == "q1":
+                return stops_sending(received)
+            return pauses_first_request(received)
+
+        harness = a_relay_harness(ScriptedEngine("e1", never_comes_back))
+        first, second = generation_caller("q1"), generation_caller("q2")
+        serving = asyncio.gather(harness.serve(first), harness.serve(second))
         await asyncio.sleep(0)
-        spare = Engine("e2", goes_on)
-        add(site, spare)
+        spare = ScriptedEngine("e2", completes_stream)
+        add(harness, spare)
         await serving
-        assert heard_whole(first)
+        assert received_complete_stream(first)
         patience_s = a_route().event_timeout_s
-        assert spare.asked_at_s[0] - START_S - 0.3 < patience_s
+        assert spare.received_at_s[0] - START_S - 0.3 < patience_s
 
     run(play)
 
@@ -228,15 +248,19 @@
     # Five servers refuse, the sixth is slow. Leaving it for its silence would
     # take a retry, only to find that the limit of attempts is reached.
     async def play() -> None:
-        late = in_turn(*[refuses] * 5, answers_late, answers_soon)
-        site = a_site(*all_do(8, late), repeats=60, route=a_look_up_route())
-        look_up = looks_up()
-        await site.serve(look_up)
+        late = one_script_each(*[refuses] * 5, responds_slowly, responds_quickly)
+        harness = a_relay_harness(
+            *engines_following(8, late), retries=60, route=a_plain_service_route()
+        )
+        look_up = plain_service_caller()
+        await harness.serve(look_up)
         assert look_up.status == 200
-        queued = in_turn(*[refuses] * 5, lambda it: streams(it, 3.0, until=8), goes_on)
-        site = a_site(*all_do(8, queued), repeats=60)
-        stream = asks()
-        await site.serve(stream)
-        assert heard_whole(stream)
+        queued = one_script_each(
+            *[refuses] * 5, lambda it: streams(it, 3.0, until=8), completes_stream
+        )
+        harness = a_relay_harness(*engines_following(8, queued), retries=60)
+        stream = generation_caller()
+        await harness.serve(stream)
+        assert received_complete_stream(stream)
 
     run(play)
--- a/tests/test_slow_store_answers.py
+++ b/tests/test_slow_store_answers.py
@@ -4,7 +4,13 @@
 
 import pytest
 from entry_builders import a_server_document
-from store_wire import Pieces, a_store, answer, no_change, play
+from store_wire import (
+    Pieces,
+    a_store,
+    an_empty_watch_response,
+    response_bytes,
+    run_in_virtual_time,
+)
 from virtual_time import LoopClock, now_s
 
 from rosepath.store_tables import StoreTables
@@ -31,9 +37,9 @@
         if "watch" not in path:
             metadata = {"name": "i-1", "revision": 3}
             item = {"metadata": metadata, "spec": a_server_document()}
-            return [(late_s, answer({"items": [item], "atRevision": 3}))]
+            return [(late_s, response_bytes({"items": [item], "atRevision": 3}))]
         wait_s = int(path.split("waitMs=")[1].split("&")[0]) / 1000
-        return [(wait_s + late_s, answer(no_change(3)))]
+        return [(wait_s + late_s, response_bytes(an_empty_watch_response(3)))]
 
 
 def the_tables() -> StoreTables:
@@ -78,4 +84,4 @@
         assert len(held_s) == len(asking)
         assert max(held_s) <= HELD_S
 
-    play(store, run)
+    run_in_virtual_time(store, run)
--- a/tests/test_store_calls.py
+++ b/tests/test_store_calls.py
@@ -7,16 +7,16 @@
 import pytest
 from store_wire import (
     CALL_TIMEOUT_S,
-    READ_PATIENCE_S,
+    READ_INACTIVITY_TIMEOUT_S,
     Pieces,
     SlowStore,
-    a_change,
-    a_listing,
+    a_list_response,
     a_store,
-    answer,
+    a_watch_response,
     in_pieces,
     now_s,
-    play,
+    response_bytes,
+    run_in_virtual_time,
 )
 from virtual_time import LoopClock
 
@@ -40,25 +40,25 @@
 def test_a_read_is_not_cancelled_while_its_response_arrives() -> None:
     # Cancelled, a large response over a slow link starts again at its first
     # byte and is never read in full.
-    pieces = in_pieces(answer(a_listing(7)), 20, first_s=0.1, gap_s=0.3)
+    pieces = in_pieces(response_bytes(a_list_response(7)), 20, first_s=0.1, gap_s=0.3)
 
     async def run() -> None:
         listing = await a_store().list(CONFIG)
         assert listing.revision == 7
         assert list(listing.objects) == ["config/main"]
 
-    play(lambda _: pieces, run)
+    run_in_virtual_time(lambda _: pieces, run)
 
 
 def test_a_watch_is_not_cancelled_while_its_response_arrives() -> None:
     # The change comes at the end of the wait and takes longer than the limit.
-    pieces = in_pieces(answer(a_change(8)), 20, first_s=1.9, gap_s=0.3)
+    pieces = in_pieces(response_bytes(a_watch_response(8)), 20, first_s=1.9, gap_s=0.3)
 
     async def run() -> None:
         change = await a_store().changes(CONFIG, after=7, wait_s=2.0)
         assert (change.revision, list(change.written)) == (8, ["config/main"])
 
-    play(lambda _: pieces, run)
+    run_in_virtual_time(lambda _: pieces, run)
 
 
 @pytest.mark.parametrize("arrives", [1, 2, 10, 19])
@@ -66,23 +66,23 @@
     arrives: int,
 ) -> None:
     # A connection that dies within a response must not block the table.
-    whole = in_pieces(answer(a_listing(7)), 20, first_s=0.1, gap_s=0.3)
+    whole = in_pieces(response_bytes(a_list_response(7)), 20, first_s=0.1, gap_s=0.3)
     pieces = whole[:arrives]
 
     async def run() -> None:
         took_s = await time_to_fail()
         assert took_s <= pieces[-1][0] + CALL_TIMEOUT_S + SLACK_S
 
-    play(lambda _: pieces, run)
+    run_in_virtual_time(lambda _: pieces, run)
 
 
 def test_a_call_without_a_response_times_out_within_the_read_patience() -> None:
     # A read may take as long as data arrives. Without a limit on the first
     # byte, a call without a response would never end.
     async def run() -> None:
-        assert await time_to_fail() <= READ_PATIENCE_S + SLACK_S
+        assert await time_to_fail() <= READ_INACTIVITY_TIMEOUT_S + SLACK_S
 
-    play(lambda _: (), run)
+    run_in_virtual_time(lambda _: (), run)
 
 
 def test_a_silent_store_is_detected_and_called_again_within_the_limit() -> None:
@@ -102,7 +102,7 @@
         assert len(asked) == 2
         following.cancel()
 
-    play(script, run)
+    run_in_virtual_time(script, run)
 
 
 def test_calls_without_a_response_time_out_after_any_number_of_failures() -> None:
@@ -116,7 +116,7 @@
                 await store.list(CONFIG)
             assert now_s() - begun_s <= 8 * CALL_TIMEOUT_S
 
-    play(lambda _: (), run)
+    run_in_virtual_time(lambda _: (), run)
 
 
 def a_feed(
@@ -152,9 +152,11 @@
         following = asyncio.ensure_future(a_feed(taken_s).run())
         await asyncio.sleep(4 * SLOW_S)
         following.cancel()
-        assert 5 in taken_s, f"{len(store.asked)} calls in {now_s() - begun_s} s"
+        assert 5 in taken_s, (
+            f"{len(store.requested_paths)} calls in {now_s() - begun_s} s"
+        )
 
-    play(store, run)
+    run_in_virtual_time(store, run)
 
 
 def test_a_change_in_a_store_that_became_slow_is_received() -> None:
@@ -168,12 +170,12 @@
         assert 5 in taken_s
         store.slow_s = SLOW_S
         await asyncio.sleep(5.0)
-        store.changes_s = now_s()
+        store.changes_at_s = now_s()
         await asyncio.sleep(4 * SLOW_S)
         following.cancel()
         assert 6 in taken_s
 
-    play(store, run)
+    run_in_virtual_time(store, run)
 
 
 def follow_a_slow_answer(
@@ -191,9 +193,11 @@
     def script(path: str) -> Pieces:
         asked.append(path)
         if "watch" not in path:
-            return [(0.01, answer(a_listing(5)))]
+            return [(0.01, response_bytes(a_list_response(5)))]
         if "watch=5" in path:
-            return in_pieces(answer(a_change(6)), 10, first_s=0.1, gap_s=0.15)
+            return in_pieces(
+                response_bytes(a_watch_response(6)), 10, first_s=0.1, gap_s=0.15
+            )
         return ()
 
     async def run() -> None:
@@ -204,7 +208,7 @@
         await asyncio.sleep(3.0)
         following.cancel()
 
-    play(script, run)
+    run_in_virtual_time(script, run)
     return [path for path in asked if "watch=5" in path], taken_s
 
 
@@ -242,11 +246,11 @@
 
     def script(path: str) -> Pieces:
         if "watch" not in path and not taken_s:
-            return [(0.01, answer(a_listing(5)))]
+            return [(0.01, response_bytes(a_list_response(5)))]
         if "watch=6" in path:
             return ()
-        whole = a_change(6) if "watch" in path else a_listing(6)
-        return in_pieces(answer(whole), 10, first_s=0.07, gap_s=0.07)
+        whole = a_watch_response(6) if "watch" in path else a_list_response(6)
+        return in_pieces(response_bytes(whole), 10, first_s=0.07, gap_s=0.07)
 
     async def run() -> None:
         feed = a_feed(taken_s, pace=lambda: WatchPolicy(wait_s=wait_s[0]))
@@ -258,4 +262,4 @@
         following.cancel()
         assert 6 in taken_s
 
-    play(script, run)
+    run_in_virtual_time(script, run)
--- a/tests/test_store_stalls.py
+++ b/tests/test_store_stalls.py
@@ -3,7 +3,7 @@
 import asyncio
 
 from entry_harness import answer
-from timed_engines import Engine, TimedPool
+from timed_engines import ScriptedEngine, TimedPool
 from virtual_time import LoopClock, VirtualLoop
 
 from rosepath.platform.store import PlatformStore, StoreAccess
@@ -25,7 +25,9 @@
     async def run() -> None:
         loop = asyncio.get_running_loop()
         assert isinstance(loop, StallingLoop)
-        server = Engine("store", lambda asked: [(0.3, answer(asked, 404, b""))])
+        server = ScriptedEngine(
+            "store", lambda received: [(0.3, answer(received, 404, b""))]
+        )
         access = StoreAccess(
             address=server.address, call_timeout_s=LIMIT_S, read_patience_s=LIMIT_S
         )
--- a/tests/test_store_watcher.py
+++ b/tests/test_store_watcher.py
@@ -5,7 +5,7 @@
 from itertools import pairwise
 from typing import Any
 
-from fleet_world import play
+from fleet_world import run_in_virtual_time
 from virtual_time import LoopClock
 
 from rosepath.clock import ManualClock
@@ -359,7 +359,7 @@
         await course(feed)
         following.cancel()
 
-    play(run)
+    run_in_virtual_time(run)
     return store
 
 
--- a/tests/test_stream_pauses.py
+++ b/tests/test_stream_pauses.py
@@ -5,7 +5,7 @@
 from typing import Any, cast
 
 from entry_builders import a_call, a_catalog, a_crash_watch, a_picker, a_prompt, a_route
-from entry_harness import NoModels
+from entry_harness import NoModelOrders
 
 from rosepath.clock import ManualClock
 from rosepath.event_sequence import EventSequence
@@ -25,7 +25,7 @@
         attempts=cast(Any, None),
         catalog=lambda: None,
         budget=cast(Any, None),
-        models=NoModels(),
+        models=NoModelOrders(),
         fleet_changed=asyncio.Condition(),
         cut_off=set,
         wait_limit_s=lambda: math.inf,
--- a/tests/test_unknown_routes.py
+++ b/tests/test_unknown_routes.py
@@ -9,7 +9,7 @@
 from typing import cast
 
 import pytest
-from fleet_world import Exchange, World, play
+from fleet_world import FleetSimulation, SimulatedExchange, run_in_virtual_time
 from tornado.httputil import HTTPHeaders
 from virtual_time import now_s
 
@@ -25,11 +25,11 @@
 SLACK_S = 0.2
 
 
-class RecordingExchange(Exchange):
+class RecordingExchange(SimulatedExchange):
     """Hold one caller's request for a path and record the response."""
 
-    def __init__(self, path: str, world: World) -> None:
-        super().__init__(f"asked-{path}", world)
+    def __init__(self, path: str, simulation: FleetSimulation) -> None:
+        super().__init__(f"asked-{path}", simulation)
         self.path = path
         self.status = 0
         self.took_s = 0.0
@@ -41,13 +41,13 @@
         self.took_s = now_s() - self.arrived_s
 
 
-Scenario = Callable[[World, EntryNode], Awaitable[RecordingExchange]]
+Scenario = Callable[[FleetSimulation, EntryNode], Awaitable[RecordingExchange]]
 
 
-async def send_request(world: World, path: str) -> RecordingExchange:
+async def send_request(simulation: FleetSimulation, path: str) -> RecordingExchange:
     """Send a request; return it with its response."""
-    exchange = RecordingExchange(path, world)
-    await world.nodes[VM].relay.serve(cast(CallerExchange, exchange))
+    exchange = RecordingExchange(path, simulation)
+    await simulation.nodes[VM].relay.serve(cast(CallerExchange, exchange))
     return exchange
 
 
@@ -58,16 +58,16 @@
     exchanges: list[RecordingExchange] = []
 
     async def run() -> None:
-        world = World(rng=random.Random(7))
-        await world.start(1, monkeypatch)
+        simulation = FleetSimulation(rng=random.Random(7))
+        await simulation.start(1, monkeypatch)
         await asyncio.sleep(2.0)
-        world.configure(2)
+        simulation.configure(2)
         await asyncio.sleep(2.0)
-        assert world.without(2) == []
-        exchanges.append(await scenario(world, world.nodes[VM]))
-        await world.close()
+        assert simulation.vms_without_version(2) == []
+        exchanges.append(await scenario(simulation, simulation.nodes[VM]))
+        await simulation.close()
 
-    play(run)
+    run_in_virtual_time(run)
     return exchanges[0]
 
 
@@ -76,11 +76,13 @@
 ) -> None:
     # The operator's change is accepted and other VMs already serve the route,
     # so a 404 here would wrongly report that it does not exist.
-    async def scenario(world: World, node: EntryNode) -> RecordingExchange:
-        world.bytes_per_s[VM] = SIZE / (0.6 * WAIT_S)
-        world.configure(3, paths=PATHS, size=SIZE)
-        node.tables.catalog_watcher.hear(world.revision)
-        return await send_request(world, NEW)
+    async def scenario(
+        simulation: FleetSimulation, node: EntryNode
+    ) -> RecordingExchange:
+        simulation.bytes_per_s[VM] = SIZE / (0.6 * WAIT_S)
+        simulation.configure(3, paths=PATHS, size=SIZE)
+        node.tables.catalog_watcher.hear(simulation.revision)
+        return await send_request(simulation, NEW)
 
     exchange = send_in_scenario(monkeypatch, scenario)
     assert exchange.status == 200
@@ -92,11 +94,13 @@
 ) -> None:
     # Another VM announced the revision and stopped sending, and the store
     # rejects this VM: whether the route exists is unknown for now.
-    async def scenario(world: World, node: EntryNode) -> RecordingExchange:
-        world.turn_away(VM)
-        world.configure(3, paths=PATHS)
-        node.tables.catalog_watcher.hear(world.revision)
-        return await send_request(world, NEW)
+    async def scenario(
+        simulation: FleetSimulation, node: EntryNode
+    ) -> RecordingExchange:
+        simulation.block(VM)
+        simulation.configure(3, paths=PATHS)
+        node.tables.catalog_watcher.hear(simulation.revision)
+        return await send_request(simulation, NEW)
 
     exchange = send_in_scenario(monkeypatch, scenario)
     assert exchange.status == 503
@@ -108,11 +112,13 @@
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     # Most changes do not affect most routes, so their requests must not wait.
-    async def scenario(world: World, node: EntryNode) -> RecordingExchange:
-        world.turn_away(VM)
-        world.configure(3, paths=PATHS)
-        node.tables.catalog_watcher.hear(world.revision)
-        return await send_request(world, "/drafts/1")
+    async def scenario(
+        simulation: FleetSimulation, node: EntryNode
+    ) -> RecordingExchange:
+        simulation.block(VM)
+        simulation.configure(3, paths=PATHS)
+        node.tables.catalog_watcher.hear(simulation.revision)
+        return await send_request(simulation, "/drafts/1")
 
     exchange = send_in_scenario(monkeypatch, scenario)
     assert exchange.status == 200
@@ -124,9 +130,11 @@
 ) -> None:
     # The configuration is current, so there is nothing to wait for. A peer's
     # report of the revision in force does not make it outdated.
-    async def scenario(world: World, node: EntryNode) -> RecordingExchange:
+    async def scenario(
+        simulation: FleetSimulation, node: EntryNode
+    ) -> RecordingExchange:
         node.tables.catalog_watcher.hear(node.tables.catalog_watcher.changed_revision)
-        return await send_request(world, NEW)
+        return await send_request(simulation, NEW)
 
     exchange = send_in_scenario(monkeypatch, scenario)
     assert exchange.status == 404
@@ -137,11 +145,13 @@
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     # A 503 here would make the caller retry without any chance of success.
-    async def scenario(world: World, node: EntryNode) -> RecordingExchange:
-        world.bytes_per_s[VM] = SIZE / (0.6 * WAIT_S)
-        world.configure(3, size=SIZE)
-        node.tables.catalog_watcher.hear(world.revision)
-        return await send_request(world, NEW)
+    async def scenario(
+        simulation: FleetSimulation, node: EntryNode
+    ) -> RecordingExchange:
+        simulation.bytes_per_s[VM] = SIZE / (0.6 * WAIT_S)
+        simulation.configure(3, size=SIZE)
+        node.tables.catalog_watcher.hear(simulation.revision)
+        return await send_request(simulation, NEW)
 
     exchange = send_in_scenario(monkeypatch, scenario)
     assert exchange.status == 404
--- a/tests/timed_engines.py
+++ b/tests/timed_engines.py
@@ -6,7 +6,14 @@
 from typing import Any, cast
 
 from entry_builders import a_catalog, a_route, an_entry
-from entry_harness import Asked, NoModels, answer, chunk, event, stream_head
+from entry_harness import (
+    NoModelOrders,
+    ReceivedRequest,
+    answer,
+    chunk,
+    event,
+    stream_head,
+)
 from tornado.httputil import HTTPHeaders
 from virtual_time import LoopClock, VirtualLoop
 
@@ -24,44 +31,46 @@
 from rosepath.retry_window import RetryWindow
 
 # What an engine does after so many seconds: send bytes, lose its connection, or crash.
-LOST = b""
-CRASHES = b"crashes"
-BACK_AFTER_S = 3.0
+CONNECTION_LOST = b""
+CRASH = b"crashes"
+RESTART_AFTER_S = 3.0
 Timetable = list[tuple[float, bytes]]
 END = b"0\r\n\r\n"
 
 
-def streams(asked: Asked, *at_s: float, until: int, ends: bool = True) -> Timetable:
+def streams(
+    received: ReceivedRequest, *at_s: float, until: int, ends: bool = True
+) -> Timetable:
     """Send the events up to `until` that the caller lacks, the last times over."""
-    first = int(asked.headers.get("last-event-id", "0")) + 1
-    steps: Timetable = [(at_s[0] if at_s else 0.02, stream_head(asked))]
+    first = int(received.headers.get("last-event-id", "0")) + 1
+    steps: Timetable = [(at_s[0] if at_s else 0.02, stream_head(received))]
     for number in range(first, until + 1):
         due_s = at_s[min(number - first, len(at_s) - 1)] if at_s else 0.02
         steps.append((due_s, chunk(event(number))))
     return [*steps, (steps[-1][0], END)] if ends else steps
 
 
-def refuses(asked: Asked) -> Timetable:
-    return [(0.005, answer(asked, 503, b"", "Not-Executed: 1\r\n"))]
+def refuses(received: ReceivedRequest) -> Timetable:
+    return [(0.005, answer(received, 503, b"", "Not-Executed: 1\r\n"))]
 
 
-def answers(asked: Asked, *, after_s: float) -> Timetable:
-    return [(after_s, answer(asked, 200, b"whole"))]
+def responds(received: ReceivedRequest, *, after_s: float) -> Timetable:
+    return [(after_s, answer(received, 200, b"whole"))]
 
 
 @dataclass(slots=True)
-class Engine:
+class ScriptedEngine:
     """Hold a server, what it does when asked, and what it was asked when."""
 
     name: str
-    does: Callable[[Asked], Timetable]
-    asked: list[Asked] = field(default_factory=list)
-    asked_at_s: list[float] = field(default_factory=list)
-    cut_at_s: list[float] = field(default_factory=list)
+    script: Callable[[ReceivedRequest], Timetable]
+    requests: list[ReceivedRequest] = field(default_factory=list)
+    received_at_s: list[float] = field(default_factory=list)
+    aborted_at_s: list[float] = field(default_factory=list)
     crashed_at_s: list[float] = field(default_factory=list)
     up: bool = True
     open: "list[_TimedTransport]" = field(default_factory=list)
-    on_back: "Callable[[Engine], None]" = lambda _: None
+    on_restart: "Callable[[ScriptedEngine], None]" = lambda _: None
 
     def crash(self) -> None:
         """Lose all connections, and be back some seconds later."""
@@ -71,11 +80,11 @@
         for transport in self.open:
             transport.lose()
         self.open.clear()
-        loop.call_later(BACK_AFTER_S, self._come_back)
+        loop.call_later(RESTART_AFTER_S, self._restart)
 
-    def _come_back(self) -> None:
+    def _restart(self) -> None:
         self.up = True
-        self.on_back(self)
+        self.on_restart(self)
 
     @property
     def address(self) -> str:
@@ -85,7 +94,7 @@
 class _TimedTransport(asyncio.Transport):
     """Give a connection what its engine sends, when it is due."""
 
-    def __init__(self, engine: Engine, connection: Connection) -> None:
+    def __init__(self, engine: ScriptedEngine, connection: Connection) -> None:
         super().__init__()
         self._engine = engine
         self._connection = connection
@@ -98,22 +107,22 @@
         line, *rest = head.decode().split("\r\n")
         headers = {
             name.lower(): value.strip()
-            for name, _, value in (entry.partition(":") for entry in rest)
+            for name, _, value in (header.partition(":") for header in rest)
         }
-        asked = Asked(line, headers, body)
-        self._engine.asked.append(asked)
-        self._engine.asked_at_s.append(self._loop.time())
+        received = ReceivedRequest(line, headers, body)
+        self._engine.requests.append(received)
+        self._engine.received_at_s.append(self._loop.time())
         # What is due at one moment goes out as one: timers keep no order then.
         due: dict[float, list[bytes]] = {}
-        for after_s, sent in self._engine.does(asked):
+        for after_s, sent in self._engine.script(received):
             due.setdefault(after_s, []).append(sent)
         for after_s, parts in due.items():
             self._due.append(self._loop.call_later(after_s, self._send, parts))
 
     def _send(self, parts: list[bytes]) -> None:
-        if CRASHES in parts:
+        if CRASH in parts:
             self._engine.crash()
-        elif LOST in parts:
+        elif CONNECTION_LOST in parts:
             self._connection.connection_lost(ConnectionResetError())
         else:
             self._connection.data_received(b"".join(parts))
@@ -127,7 +136,7 @@
     def abort(self) -> None:
         pending = [due for due in self._due if due.when() > self._loop.time()]
         if pending:
-            self._engine.cut_at_s.append(self._loop.time())
+            self._engine.aborted_at_s.append(self._loop.time())
         for due in self._due:
             due.cancel()
 
@@ -141,7 +150,7 @@
 class TimedPool(HttpPool):
     """Connect to engines that are objects of this process."""
 
-    def __init__(self, engines: dict[str, Engine]) -> None:
+    def __init__(self, engines: dict[str, ScriptedEngine]) -> None:
         super().__init__(clock=LoopClock())
         self._engines = engines
 
@@ -170,9 +179,9 @@
     arrived_s: float = 0.0
     begun: bool = False
     status: int = 0
-    heard: bytes = b""
-    whole: bool = False
-    cut: bool = False
+    received_body: bytes = b""
+    complete: bool = False
+    aborted: bool = False
     retry_after: str = ""
 
     def begin(self, status: int, headers: HTTPHeaders) -> None:
@@ -181,10 +190,10 @@
         self.retry_after = headers.get("Retry-After", "")
 
     def write(self, data: bytes) -> None:
-        self.heard += data
+        self.received_body += data
 
     def end(self) -> None:
-        self.whole = True
+        self.complete = True
 
     def answer(self, status: int, headers: HTTPHeaders, body: bytes) -> None:
         self.begin(status, headers)
@@ -192,14 +201,14 @@
         self.end()
 
     def abort(self) -> None:
-        self.cut = True
+        self.aborted = True
 
     @property
     def events(self) -> int:
-        return self.heard.count(b"id: ")
+        return self.received_body.count(b"id: ")
 
 
-def asks(request_id: str = "q1", *, wait_ms: int = 20_000) -> Caller:
+def generation_caller(request_id: str = "q1", *, wait_ms: int = 20_000) -> Caller:
     """Build a caller of a generation."""
     return Caller(
         headers=HTTPHeaders(
@@ -216,13 +225,13 @@
 
 
 @dataclass(slots=True)
-class Site:
+class RelayHarness:
     """Hold a relay before engines, and its part of the retry budget."""
 
     relay: Relay
     fleet: Fleet
     window: RetryWindow
-    engines: dict[str, Engine]
+    engines: dict[str, ScriptedEngine]
 
     async def serve(self, caller: Caller, *, after_s: float = 0.0) -> None:
         """Serve a caller who comes after some seconds."""
@@ -231,12 +240,12 @@
         await self.relay.serve(cast(Any, caller))
 
 
-def a_site(
-    *engines: Engine,
-    repeats: float = 10.0,
+def a_relay_harness(
+    *engines: ScriptedEngine,
+    retries: float = 10.0,
     route: HostRoute | None = None,
     window_s: float = 10.0,
-) -> Site:
+) -> RelayHarness:
     """Build a relay before engines, with so many repeats in its window."""
     chosen = route or a_route(timeout_s=20.0)
     catalog = a_catalog(chosen)
@@ -250,7 +259,7 @@
             )
         )
     window = RetryWindow(
-        clock=clock, ratio=0.0, slack=repeats / 0.7 + 1e-9, window_s=window_s
+        clock=clock, ratio=0.0, slack=retries / 0.7 + 1e-9, window_s=window_s
     )
     by_address = {engine.address: engine for engine in engines}
     pool = TimedPool(by_address)
@@ -263,87 +272,91 @@
         attempts=AttemptSender(pool, clock=clock),
         catalog=lambda: catalog,
         budget=lambda _: window,
-        models=NoModels(),
+        models=NoModelOrders(),
         fleet_changed=asyncio.Condition(),
         cut_off=set,
         wait_limit_s=lambda: float("inf"),
         on_outcome=_ignore,
         crashes=crashes,
     )
-    return Site(Relay(ports), fleet, window, by_address)
+    return RelayHarness(Relay(ports), fleet, window, by_address)
 
 
-def sets_aside(asked: Asked) -> Timetable:
+def pauses_generation(received: ReceivedRequest) -> Timetable:
     """Send two events, stand still for four seconds, and send the rest."""
-    return streams(asked, 0.05, 0.3, 4.3, until=8)
+    return streams(received, 0.05, 0.3, 4.3, until=8)
 
 
-def goes_dark(asked: Asked) -> Timetable:
+def stops_sending(received: ReceivedRequest) -> Timetable:
     """Send two events and nothing after them, with the connection open."""
-    return streams(asked, 0.05, 0.3, until=2, ends=False)
+    return streams(received, 0.05, 0.3, until=2, ends=False)
 
 
-def breaks(asked: Asked) -> Timetable:
+def loses_connection(received: ReceivedRequest) -> Timetable:
     """Send two events and lose the connection."""
-    return [*streams(asked, 0.05, 0.3, until=2, ends=False), (0.4, LOST)]
+    return [*streams(received, 0.05, 0.3, until=2, ends=False), (0.4, CONNECTION_LOST)]
 
 
-def goes_on(asked: Asked) -> Timetable:
-    return streams(asked, until=8)
+def completes_stream(received: ReceivedRequest) -> Timetable:
+    return streams(received, until=8)
 
 
-def only_first_is_set_aside(asked: Asked) -> Timetable:
-    if asked.request_id == "q1":
-        return sets_aside(asked)
-    return streams(asked, *(0.05 * number for number in range(1, 80)), until=79)
+def pauses_first_request(received: ReceivedRequest) -> Timetable:
+    if received.request_id == "q1":
+        return pauses_generation(received)
+    return streams(received, *(0.05 * number for number in range(1, 80)), until=79)
 
 
-def add(site: Site, engine: Engine, *models: str) -> None:
+def add(harness: RelayHarness, engine: ScriptedEngine, *models: str) -> None:
     """Let another engine come up, with a model that most ask for or with others."""
-    site.engines[engine.address] = engine
+    harness.engines[engine.address] = engine
     holds = {model: frozenset[str]() for model in models or ("m0",)}
-    site.fleet.put(an_entry(engine.name, address=engine.address, models=holds))
+    harness.fleet.put(an_entry(engine.name, address=engine.address, models=holds))
 
 
-def in_turn(*does: Callable[[Asked], Timetable]) -> Callable[[Asked], Timetable]:
+def one_script_each(
+    *script: Callable[[ReceivedRequest], Timetable],
+) -> Callable[[ReceivedRequest], Timetable]:
     """Do the next of these for each request, whichever server it comes to."""
-    left = list(does)
+    left = list(script)
 
-    def next_one(asked: Asked) -> Timetable:
-        return (left.pop(0) if len(left) > 1 else left[0])(asked)
+    def next_one(received: ReceivedRequest) -> Timetable:
+        return (left.pop(0) if len(left) > 1 else left[0])(received)
 
     return next_one
 
 
-def all_do(count: int, does: Callable[[Asked], Timetable]) -> list[Engine]:
-    return [Engine(f"e{number}", does) for number in range(1, count + 1)]
+def engines_following(
+    count: int, script: Callable[[ReceivedRequest], Timetable]
+) -> list[ScriptedEngine]:
+    return [ScriptedEngine(f"e{number}", script) for number in range(1, count + 1)]
 
 
-def never_answers(_: Asked) -> Timetable:
+def never_responds(_: ReceivedRequest) -> Timetable:
     return []
 
 
-def answers_soon(asked: Asked) -> Timetable:
-    return answers(asked, after_s=0.01)
+def responds_quickly(received: ReceivedRequest) -> Timetable:
+    return responds(received, after_s=0.01)
 
 
-def answers_late(asked: Asked) -> Timetable:
-    return answers(asked, after_s=1.0)
+def responds_slowly(received: ReceivedRequest) -> Timetable:
+    return responds(received, after_s=1.0)
 
 
-def a_look_up_route() -> HostRoute:
+def a_plain_service_route() -> HostRoute:
     return a_route(kind=RouteKind.IDEMPOTENT, service="desk", timeout_s=5.0)
 
 
-def looks_up(*, model: bool = False) -> Caller:
+def plain_service_caller(*, model: bool = False) -> Caller:
     """Build a caller of a plain service."""
-    caller = asks()
+    caller = generation_caller()
     for name in () if model else ("Model", "Token-Usage", "Prompt-Prefix"):
         del caller.headers[name]
     return caller
 
 
-class AdapterLoads(NoModels):
+class AdapterLoads(NoModelOrders):
     """Load any adapter at once."""
 
     async def ensure_adapter(
@@ -353,14 +366,14 @@
         return True
 
 
-def fill(site: Site, name: str) -> None:
+def occupy_all_slots(harness: RelayHarness, name: str) -> None:
     """Let all places of an engine be taken by other entry VMs."""
-    server = site.fleet.servers[name]
+    server = harness.fleet.servers[name]
     server.peers["vm-9"] = PeerLoad(requests=server.entry.slots)
 
 
-def heard_whole(caller: Caller) -> bool:
-    return caller.whole and not caller.cut and caller.events == 8
+def received_complete_stream(caller: Caller) -> bool:
+    return caller.complete and not caller.aborted and caller.events == 8
 
 
 def _ignore(_: RequestContext, __: int, ___: str) -> None:
