--- a/tests/builders.py
+++ b/tests/builders.py
@@ -1,4 +1,4 @@
-"""Builders of test data."""
+"""Builders of declarations, reports, views and stream events."""
 
 from collections.abc import Mapping
 from typing import Any
@@ -31,7 +31,7 @@
 
 
 def replica(name: str, **fields: Any) -> Replica:
-    """Build a replica that holds `m` and has just reported."""
+    """Build a replica with `m` resident and a current report."""
     given: dict[str, Any] = {
         "data_centre": "casa-a",
         "slots": 4,
@@ -77,13 +77,13 @@
 
 
 def token_event(request_id: str, start: int, end: int, text: str = "x") -> bytes:
-    """Build an engine's event."""
+    """Build a token event of an engine's stream."""
     data = f'{{"choices": [{{"delta": {{"content": "{text}"}}}}]}}'
     return f"id: {request_id}/{start}-{end}\ndata: {data}\n\n".encode()
 
 
 def end_events(request_id: str, at: int) -> bytes:
-    """Build an engine's closing events."""
+    """Build the events that end an engine's stream."""
     return (
         f'id: {request_id}/{at}-end\ndata: {{"choices": []}}\n\ndata: [DONE]\n\n'
     ).encode()
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -1,4 +1,4 @@
-"""Shared fixtures: a loop in the background and a deployment of processes."""
+"""Shared fixtures: a background event loop and a deployment of processes."""
 
 import asyncio
 import json
@@ -13,8 +13,8 @@
 
 from rosepath_standins.cluster import Cluster, caller_declaration
 
-# The same examples in each run, so that a verdict is about the code alone; by
-# hand, `HYPOTHESIS_PROFILE=fresh` draws new ones.
+# Every run uses the same examples, so that results depend on the code alone.
+# `HYPOTHESIS_PROFILE=fresh` draws new ones.
 settings.register_profile("steady", derandomize=True)
 settings.register_profile("fresh")
 settings.load_profile(os.environ.get("HYPOTHESIS_PROFILE", "steady"))
@@ -26,7 +26,7 @@
 
 
 def _known_red() -> dict[str, str]:
-    """Return the lines of the list of known failures by the test they name."""
+    """Return the entries of the list of known failures by test id."""
     if not KNOWN_RED.exists():
         return {}
     lines = [line for line in KNOWN_RED.read_text().splitlines() if line.strip()]
@@ -34,9 +34,9 @@
 
 
 def pytest_collection_modifyitems(items: list[pytest.Item]) -> None:
-    """Pass over the known failures, and over nothing else.
+    """Mark the listed known failures, and nothing else, as strict xfail.
 
-    One that passes fails the run: it is to be taken off the list.
+    A listed test that passes fails the run and must be taken off the list.
     """
     known = _known_red()
     for item in items:
@@ -51,7 +51,10 @@
 
 
 class Background:
-    """Run coroutines on a loop that keeps going between a test's steps."""
+    """Run coroutines on an event loop in a background thread.
+
+    The loop keeps running between the steps of a test.
+    """
 
     def __init__(self) -> None:
         self.loop = asyncio.new_event_loop()
@@ -59,11 +62,11 @@
         self._thread.start()
 
     def run(self, work: Coroutine[Any, Any, T], *, timeout_s: float = 90.0) -> T:
-        """Run a coroutine and return what it gives."""
+        """Run a coroutine and return its result."""
         return asyncio.run_coroutine_threadsafe(work, self.loop).result(timeout_s)
 
     def start(self, work: Coroutine[Any, Any, T]) -> "Any":
-        """Start a coroutine; its result is collected later."""
+        """Start a coroutine and return its future."""
         return asyncio.run_coroutine_threadsafe(work, self.loop)
 
     def stop(self) -> None:
@@ -73,7 +76,7 @@
 
 
 class Deployment(Cluster):
-    """A small Mahkama: two data centres, three engines, two service servers."""
+    """Run two data centres, three engines, two service servers, three VMs."""
 
     background: Background
 
@@ -107,7 +110,7 @@
             await self.wait_serving(name)
 
     async def wait_serving(self, name: str) -> None:
-        """Wait until an entry VM answers for each model."""
+        """Wait until an entry VM serves each model."""
         for model in ("court-rules:casablanca", "claim-drafts"):
             body = {"model": model, "prompt": "ping", "max_tokens": 1}
             await self.until(lambda body=body: self._serves(name, body))
@@ -123,7 +126,7 @@
         return head.status == 200
 
     def start_entry_vm(self, name: str, **options: Any) -> Any:
-        """Start an entry VM with short waits."""
+        """Start an entry VM with short timeouts."""
         number = int(name.rpartition("-")[2])
         settings = {
             "routing": {"progress_timeout_s": 1.0, "report_interval_s": 0.1},
@@ -161,7 +164,7 @@
         )
 
     async def holders(self, target: str) -> list[str]:
-        """Return the engines that hold a target, by their own records."""
+        """Return the engines that report a target as resident."""
         return [
             name
             for name, process in self.engines.items()
--- a/tests/crashing_servers.py
+++ b/tests/crashing_servers.py
@@ -1,7 +1,7 @@
-"""Servers that crash when they run a marked request, before several entry VMs.
+"""Servers that crash on a marked request, behind several entry VMs.
 
-Each is back seconds later at its address, under a new name and with nothing of
-what it held, as on the users' platform.
+Each restarts seconds later at its address under a new name and with nothing
+resident, as on the users' platform.
 """
 
 import asyncio
@@ -20,17 +20,17 @@
 from rosepath.server_picker import QUARANTINED_CODE
 
 CRASHING_PATH = "/drafts/crashing"
-# From the start of a run to its server's crash, and to the server's next life.
+# Time from the start of a run to the crash, and from the crash to the restart.
 CRASH_AFTER_S = 0.05
 RESTART_AFTER_S = 3.0
-# What other requests take.
+# Duration of other requests.
 RUN_S = 0.03
 ONE_WAY_LATENCY_S = 0.001
 
 
 @dataclass(slots=True)
 class Server:
-    """Hold a server's present life, and who waits for its answers."""
+    """Hold a server's current instance and its crash event."""
 
     name: str
     crashed: asyncio.Event = field(default_factory=asyncio.Event)
@@ -39,10 +39,10 @@
 
 @dataclass(slots=True)
 class CrashingServersSimulation(FleetSimulation):
-    """Add servers that end, and count what crashed them."""
+    """Add crashing servers and record crashes and arrivals by path."""
 
     servers: dict[str, Server] = field(default_factory=dict)
-    # When servers crashed, and when requests reached them that crash them, by path.
+    # Times of crashes and of arrivals of crashing requests, by path.
     crashes_s: dict[str, list[float]] = field(default_factory=dict)
     arrivals_s: dict[str, list[float]] = field(default_factory=dict)
     quarantined_unrelated: int = 0
@@ -61,7 +61,7 @@
         return f"10.9.0.{int(name.rpartition('-')[2]) % 100 + 1}:80"
 
     async def send_repeatedly(self, *, times: int, each_s: float) -> None:
-        """Send the crashing request to one VM after the other, at random."""
+        """Send the crashing request to random VMs at a fixed interval."""
         rng = random.Random(3)
         for number in range(times):
             self.send_crashing_request(
@@ -81,7 +81,10 @@
         return sum(map(len, self.crashes_s.values()))
 
     def sent_after_third(self, path: str = CRASHING_PATH) -> int:
-        """Count the sends that are too late to be put down to what was on its way."""
+        """Count the sends that the VMs should have withheld after three crashes.
+
+        Sends within `settle_s` of the third crash may already be in flight.
+        """
         crashes_s = self.crashes_s.get(path, [])
         if len(crashes_s) < 3:
             return 0
@@ -89,7 +92,7 @@
         return sum(arrival_s > known_s for arrival_s in self.arrivals_s[path])
 
     def replace_holder(self) -> None:
-        """Let another VM take the placement lease, as if the holder had died."""
+        """Give the placement lease to a random VM, as if the holder had failed."""
         self.holder = self.rng.choice(sorted(self.nodes))
         self.holder_term += 1
 
@@ -144,7 +147,7 @@
         except TimeoutError:
             return
         raise ExchangeError(
-            "answer closed early",
+            "response closed early",
             step=Step.SEND,
             peer=request.address,
             sent=True,
@@ -170,7 +173,7 @@
 
 
 class CrashingExchange(SimulatedExchange):
-    """Be a caller's request that crashes each server that runs it."""
+    """Stand in for a caller's request that crashes each server that runs it."""
 
     def __init__(
         self, request_id: str, simulation: CrashingServersSimulation, path: str
--- a/tests/entry_builders.py
+++ b/tests/entry_builders.py
@@ -1,4 +1,4 @@
-"""Builders of test data for the entry VM on the users' platform."""
+"""Builders of test data for entry VMs."""
 
 from collections.abc import Mapping
 from typing import Any
@@ -115,7 +115,7 @@
 
 
 def a_server_document(*, state: str = "ready", **fields: Any) -> dict[str, Any]:
-    """Return what a backend server writes of itself into the store."""
+    """Return the document that a backend server writes to the store."""
     return {
         "service": "llm",
         "address": "10.0.0.1:80",
@@ -194,7 +194,7 @@
 
 
 def a_crash_watch(clock: Clock, *, contact: Contact = Contact.ACCEPTED) -> CrashWatch:
-    """Build a watch before servers that all do the same with new connections."""
+    """Build a crash watch whose connection probes all return `contact`."""
 
     async def probe(address: str, *, limit_s: float) -> Contact:
         return contact
--- a/tests/entry_harness.py
+++ b/tests/entry_harness.py
@@ -1,4 +1,4 @@
-"""A gateway and relay on loopback, with backend servers that follow a script."""
+"""A gateway and relay on loopback in front of scripted backend servers."""
 
 import asyncio
 import math
@@ -27,7 +27,7 @@
 
 @dataclass(slots=True)
 class ReceivedRequest:
-    """Hold a request as a backend server read it."""
+    """Hold a request as received by a backend server."""
 
     line: str
     headers: dict[str, str]
@@ -40,7 +40,7 @@
 
 @dataclass(slots=True)
 class ScriptedServer:
-    """Hold a backend server: its script, and what it was asked."""
+    """Run a script for each request of a backend server and record them."""
 
     name: str
     script: Script
@@ -95,7 +95,7 @@
 
 
 class NoModelOrders:
-    """Order nothing."""
+    """Ignore demand and never order a model."""
 
     def note_request_received(self, *_: Any) -> None:
         pass
@@ -115,7 +115,7 @@
 
 @dataclass(slots=True)
 class RunningGateway:
-    """Hold a gateway that listens, and what became of its requests."""
+    """Hold a listening gateway and the outcomes of its requests."""
 
     gateway: Gateway
     port: int
@@ -126,7 +126,7 @@
     listening: dict[str, asyncio.Server] = field(default_factory=dict)
 
     async def close_server(self, name: str) -> None:
-        """Let a backend server take no more connections."""
+        """Close the listening socket of a backend server."""
         self.listening[name].close()
         await self.listening[name].wait_closed()
 
@@ -139,7 +139,7 @@
         return await asyncio.open_connection("127.0.0.1", self.port)
 
     async def send_request(self, head: str, body: bytes = b"") -> bytes:
-        """Send one request on its own connection; return all that comes back."""
+        """Send one request on its own connection and return the raw response."""
         reader, writer = await self.connect()
         writer.write(request(head, body, close=True))
         async with asyncio.timeout(10):
@@ -165,7 +165,7 @@
     configuration: Callable[[], ConfigurationView] = lambda: UNKNOWN_CONFIGURATION,
     on_outcome: Callable[[RequestContext, int, str], None] = lambda *_: None,
 ) -> AsyncIterator[RunningGateway]:
-    """Run a gateway before some backend servers."""
+    """Run a gateway in front of scripted backend servers."""
     clock, fleet, pool = SystemClock(), Fleet(), HttpPool()
     chosen = route or a_route()
     catalog = a_catalog(chosen)
--- a/tests/fakes.py
+++ b/tests/fakes.py
@@ -1,4 +1,4 @@
-"""Small fakes at the ports."""
+"""In-memory fakes of the platform store and the engines."""
 
 from collections import Counter
 from collections.abc import AsyncIterator
@@ -24,7 +24,7 @@
 
 
 class FakePlatform:
-    """Keep objects in memory; lose replies and be down when told."""
+    """Keep objects in memory and simulate lost responses and outages."""
 
     def __init__(self) -> None:
         self.objects: dict[str, StoredObject] = {}
@@ -34,7 +34,7 @@
         self._lost: Counter[str] = Counter()
 
     def lose_replies(self, name: str, count: int) -> None:
-        """Lose the replies of the next writes of an object."""
+        """Lose the responses to the next `count` writes of an object."""
         self._lost[name] = count
 
     def _check(self) -> None:
@@ -88,7 +88,7 @@
 
 @dataclass(slots=True)
 class FakeEngine:
-    """Hold an engine's true memory; orders land when the test says so."""
+    """Hold an engine's memory state; tests control when orders execute."""
 
     memory_bytes: int = 100
     fences: bool = True
@@ -105,7 +105,7 @@
         return sum(self.resident.values()) + sum(self.loading.values())
 
     def execute(self, order: Order) -> bool:
-        """Carry an order out, as far as a real engine would."""
+        """Execute an order as a real engine does; return False if it is stale."""
         if order.order_id in self.orders:
             return True
         if self.fences and order.fence < self.fence:
@@ -123,13 +123,13 @@
         return True
 
     def execute_delayed(self) -> None:
-        """Let every order that was held back land."""
+        """Execute every delayed order."""
         delayed, self.delayed = self.delayed, []
         for order in delayed:
             self.execute(order)
 
     def finish_loading(self) -> None:
-        """End every load under way."""
+        """Finish every load in progress."""
         self.resident |= self.loading
         self.loading = {}
         for identity, state in self.orders.items():
@@ -138,7 +138,7 @@
 
 
 class FakeBackend:
-    """Reach fake engines by name; lose, hold back or double orders."""
+    """Reach fake engines by name; lose, delay or duplicate their orders."""
 
     def __init__(self, engines: dict[str, FakeEngine]) -> None:
         self.engines = engines
@@ -176,12 +176,12 @@
             raise StaleFenceError("old", step=Step.SEND, peer=address)
 
     async def cancel(self, address: str, request_id: str) -> None:
-        """Cancel nothing."""
+        """Do nothing."""
 
     async def generate(
         self, address: str, generation: Generation, on_bytes: OnBytes, _: SendPolicy
     ) -> None:
-        """Generate nothing."""
+        """Do nothing."""
 
     def _failure(self, address: str) -> ExchangeError:
         return ExchangeError("lost", step=Step.SEND, peer=address, sent=True)
--- a/tests/fleet_world.py
+++ b/tests/fleet_world.py
@@ -1,7 +1,8 @@
-"""Entry VMs, a store and servers that leave, in one process and virtual time.
+"""Simulate entry VMs, the store and departing servers in virtual time.
 
-The VMs are real but for their sockets: their tables follow this store, their
-words go over this wire, and each sends callers' requests all the time.
+The entry VMs run their real code except for sockets: their tables follow the
+simulated store, their state messages pass through a simulated transport, and
+each one sends callers' requests continuously.
 """
 
 import asyncio
@@ -41,11 +42,15 @@
 
 @dataclass(slots=True)
 class FleetSimulation:
-    """Hold the store, the wire, the VMs, and what reached which server when."""
+    """Own the store, the transport, the entry VMs and the late requests found.
+
+    A request is late if it reaches a server more than `drain_s` after the
+    server's departure.
+    """
 
     drain_s: float = 2.0
-    # A VM that was cut from the store, or whose connections went silent, is
-    # held to the drain time again so long after.
+    # Requests of a VM are not checked until this long after it regains contact
+    # with the store or its watch connections stall.
     settle_s: float = 3.0
     data_centres: int = 1
     # Datagrams sent by each VM.
@@ -56,19 +61,20 @@
     events: list[tuple[int, str, StoredObject | None]] = field(default_factory=list)
     written_at_s: dict[int, float] = field(default_factory=dict)
     compacted_revision: int = 0
-    # Watches are told nothing of changes while it is deaf.
+    # The store reports no changes to watches.
     changes_suppressed: bool = False
-    # The store answers nobody, or not these VMs; silently or at once.
+    # The store fails every call with a timeout and cuts every watch.
     down: bool = False
-    # While it fails all of them, nobody is held to anything.
+    # The store fails every VM, so no late requests are counted.
     outage: bool = False
+    # VMs whose store calls time out and whose watches are cut.
     blocked: set[str] = field(default_factory=set)
     killed: set[str] = field(default_factory=set)
-    # Connections of watches that were waiting then are silent for good.
+    # By VM: watch connections opened before this time deliver nothing more.
     stalled_at_s: dict[str, float] = field(default_factory=dict)
-    # The rate of a VM's link to the store; without one answers take no time.
+    # Throughput of a VM's link to the store; unlimited if absent.
     bytes_per_s: dict[str, float] = field(default_factory=dict)
-    # What each VM was sent of objects by the store.
+    # Object bytes that each VM received from the store.
     received_bytes: Counter[str] = field(default_factory=Counter)
     lost_share: float = 0.0
     changed: asyncio.Condition = field(default_factory=asyncio.Condition)
@@ -87,7 +93,7 @@
     # The store
 
     def write(self, name: str, value: bytes | None) -> None:
-        """Write an object, or remove it."""
+        """Write an object, or remove it if the value is None."""
         self.revision += 1
         stored = None
         if value is None:
@@ -106,14 +112,14 @@
             self.changed.notify_all()
 
     def cut_watches(self, *, compact: bool = False) -> None:
-        """Cut every watch that waits, and drop the history if told so."""
+        """Cut every open watch, and optionally drop the change history."""
         self.cuts += 1
         if compact:
             self.compacted_revision = self.revision
         self.wake()
 
     async def compact_history(self) -> None:
-        """Tell watches nothing for a second, then drop the history and cut them."""
+        """Suppress changes for a second, then drop the history and cut watches."""
         self.changes_suppressed = self.outage = True
         await asyncio.sleep(1.0)
         self.changes_suppressed = self.outage = False
@@ -121,7 +127,7 @@
         self.cut_watches(compact=True)
 
     async def fail_store(self, *, for_s: float, expiring: list[str]) -> None:
-        """Answer nobody for a while; some servers' entries lapse and come back."""
+        """Fail every call for a while; the `expiring` servers re-register later."""
         self.down = self.outage = True
         self.wake()
         await asyncio.sleep(for_s)
@@ -134,24 +140,27 @@
             self.write_entry(name)
 
     def _note_disruption(self, vms: Iterable[str]) -> None:
-        """Hold VMs to nothing for a while; those turned away, until taken back."""
+        """Exempt VMs from the check of late requests for `settle_s`.
+
+        Blocked VMs stay exempt until they are unblocked.
+        """
         harmed = set(vms) - self.blocked
         self.disrupted_at_s.update(dict.fromkeys(harmed, now_s()))
 
     def block(self, *vms: str) -> None:
-        """Answer some VMs no more."""
+        """Fail every store call of some VMs."""
         self.blocked.update(vms)
         self.disrupted_at_s.update(dict.fromkeys(vms, math.inf))
         self.wake()
 
     def unblock(self, *, excluded: Sequence[str] = ()) -> None:
-        """Answer all VMs again, but for those that are dead."""
+        """Restore the store for all blocked VMs except the excluded ones."""
         back = self.blocked.difference(excluded)
         self.blocked -= back
         self._note_disruption(back)
 
     def stall_watches(self, *vms: str) -> None:
-        """Let the connections of VMs that wait go silent for good."""
+        """Stop delivering data on the VMs' open watch connections."""
         self.stalled_at_s.update(dict.fromkeys(vms, now_s()))
         self._note_disruption(vms)
 
@@ -160,7 +169,7 @@
     def configure(
         self, version: int, *, paths: Sequence[str] = ("/drafts/",), size: int = 0
     ) -> None:
-        """Write the operator's configuration, of some size in bytes."""
+        """Write the operator's configuration with `size` bytes of padding."""
         routes = [
             {
                 "name": f"r-{number}",
@@ -183,7 +192,7 @@
         self.write("config/main", json.dumps(raw).encode())
 
     def vms_without_version(self, version: int) -> list[str]:
-        """Return the VMs where a version is not in force."""
+        """Return the VMs that have not applied a configuration version."""
         return [
             name
             for name, node in self.nodes.items()
@@ -193,13 +202,13 @@
     # Servers
 
     async def keep_writing_entries(self, names: list[str]) -> None:
-        """Change some servers' entries all the time."""
+        """Rewrite random servers' entries continuously."""
         while True:
             await asyncio.sleep(ENTRY_WRITE_INTERVAL_S)
             self.write_entry(self.rng.choice(names))
 
     def address_of(self, name: str) -> str:
-        """Return where a server listens."""
+        """Return the address of a server."""
         return f"10.9.0.{int(name.rpartition('-')[2]) + 1}:80"
 
     def write_entry(
@@ -219,7 +228,7 @@
         self.write(f"servers/{name}", json.dumps(raw).encode())
 
     def start_departure(self, name: str, *, announced: bool = False) -> None:
-        """Let a server leave: it says so, or its entry is removed."""
+        """Mark a server as draining if announced, else remove its entry."""
         self.departed_at_s.setdefault(name, now_s())
         if announced:
             self.write_entry(name, state="draining")
@@ -240,7 +249,7 @@
     async def start(
         self, vms: int, monkeypatch: pytest.MonkeyPatch, *, servers: int = 4
     ) -> None:
-        """Start VMs that know each other; the first holds the lease."""
+        """Start VMs with each other's addresses; the first holds the lease."""
         monkeypatch.setattr(entry_node, "SystemClock", LoopClock)
         monkeypatch.setattr(placement_coordinator, "BootClock", LoopClock)
         if hasattr(entry_node, "BootClock"):
@@ -283,7 +292,7 @@
         node.relay._ports.rng = self.rng
 
     def _connect_and_run(self, name: str) -> None:
-        """Let a VM know the others, and run."""
+        """Give a VM the addresses of the others and start its tasks."""
         node = self.nodes[name]
         for other in self.nodes:
             node.peers.note_address(other, _address(other))
@@ -306,7 +315,7 @@
         self.tasks.append(asyncio.create_task(self._send_requests(name), name=name))
 
     def kill(self, name: str) -> None:
-        """Let a VM fall silent for good."""
+        """Cancel a VM's tasks and block it from the store."""
         for task in self.tasks:
             if task.get_name() == name:
                 task.cancel()
@@ -316,7 +325,7 @@
             self.holder = ""
 
     def restart(self, name: str, monkeypatch: pytest.MonkeyPatch) -> None:
-        """Start a killed VM, which knows nothing of before."""
+        """Start a killed VM with no earlier state."""
         self._build_node(name, monkeypatch)
         self._connect_and_run(name)
         self.blocked.discard(name)
@@ -333,7 +342,7 @@
             await asyncio.sleep(LEASE_TICK_S)
 
     async def _renew_lease(self, name: str) -> None:
-        # The holder's lease; its calls succeed or fail apart from its watches.
+        # The holder's lease calls succeed or fail independently of its watches.
         while True:
             if self.holder == name:
                 try:
@@ -343,7 +352,7 @@
             await asyncio.sleep(LEASE_RENEWAL_INTERVAL_S)
 
     async def _send_requests(self, name: str) -> None:
-        """Send a request of a caller's every few milliseconds."""
+        """Send a caller's request every `REQUEST_INTERVAL_S`."""
         await asyncio.sleep(1.0)
         number = 0
         while True:
@@ -384,7 +393,7 @@
 
 @dataclass(slots=True)
 class SimulatedTransport:
-    """Carry a VM's datagrams."""
+    """Deliver or drop a VM's datagrams."""
 
     simulation: FleetSimulation
     vm: str
@@ -403,7 +412,7 @@
 
 
 class SimulatedExchange:
-    """Be one caller's request."""
+    """Stand in for one caller's exchange with the gateway."""
 
     def __init__(self, request_id: str, simulation: FleetSimulation) -> None:
         self.method, self.path = "POST", "/drafts/1"
@@ -419,7 +428,7 @@
 
 
 def require_still_wanted(request: Request) -> None:
-    """Send nothing that is no longer wanted once its connection is there."""
+    """Raise if the request was withdrawn while its connection was opened."""
     if not request.still_wanted():
         raise ExchangeError(
             "no longer wanted",
--- a/tests/outspoken_servers.py
+++ b/tests/outspoken_servers.py
@@ -1,4 +1,4 @@
-"""Servers that say in their answers that they leave, before several entry VMs."""
+"""Servers that announce their departure in responses to several entry VMs."""
 
 import asyncio
 from collections.abc import Callable
@@ -14,15 +14,16 @@
 
 @dataclass(slots=True)
 class DepartureNoticeSimulation(FleetSimulation):
-    """Let servers say that they leave, and note who was told when."""
+    """Add departure notices in responses and record when each VM got them."""
 
     departing: set[str] = field(default_factory=set)
     notified_at_s: dict[tuple[str, str], float] = field(default_factory=dict)
-    # How long after a VM was told a request of it reached the server.
+    # Delays between a notice to a VM and a later request of that VM to the
+    # server, where they exceed the drain time.
     late_by_s: list[float] = field(default_factory=list)
 
     def announce_departure(self, name: str) -> None:
-        """Let a server say in its answers that it leaves; its entry does not."""
+        """Announce a departure in responses only, not in the server's entry."""
         self.departing.add(name)
 
     def _backend_exchange(self, name: str) -> Callable[..., Any]:
--- a/tests/store_view.py
+++ b/tests/store_view.py
@@ -1,4 +1,4 @@
-"""One VM's view of the store that all VMs of a fleet in virtual time share."""
+"""One VM's client of the store that all simulated VMs share."""
 
 import asyncio
 import math
@@ -20,26 +20,26 @@
 )
 
 if TYPE_CHECKING:
-    pass
+    from fleet_world import FleetSimulation
 
-# The way to the store or to another VM.
+# One-way latency to the store or to another VM.
 ONE_WAY_LATENCY_S = 0.004
 CALL_TIMEOUT_S = 0.5
-# A read without an answer is left to run for so long.
+# A read without a response fails after this time.
 READ_INACTIVITY_TIMEOUT_S = 4.0
-# How much later relaxed watches are told of a change.
+# Delay of changes reported to relaxed watches.
 RELAXED_WATCH_DELAY_S = 3.0
 
 
 @dataclass(slots=True)
 class SimulatedStore:
-    """Speak the store's port for one VM."""
+    """Implement the store port for one VM on the simulated store."""
 
     simulation: "FleetSimulation"
     vm: str
     last_success_s: float = -1e9
     calls: Counter[str] = field(default_factory=Counter)
-    # When the connection of its watches was made; -1 if there is none.
+    # When the watch connection was opened; -1 if there is none.
     connected_s: float = -1.0
 
     async def list(
@@ -69,7 +69,7 @@
         relaxed: bool = False,
         on_response_start: Callable[[], None] = ignore_response_start,
     ) -> Change:
-        """Watch over the connection of the watch before, unless that failed."""
+        """Watch on the previous watch's connection unless that watch failed."""
         if self.connected_s < 0:
             self.connected_s = now_s()
         connected_s, self.connected_s = self.connected_s, -1.0
@@ -97,9 +97,9 @@
         while True:
             if connected_s < simulation.stalled_at_s.get(self.vm, -1e9) <= now_s():
                 await asyncio.sleep(until_s + READ_INACTIVITY_TIMEOUT_S - now_s())
-                raise StoreError("no answer in time", step=Step.STORE)
+                raise StoreError("no response in time", step=Step.STORE)
             if simulation.cuts != cuts or self._unreachable:
-                raise StoreError("answer closed early", step=Step.STORE)
+                raise StoreError("response closed early", step=Step.STORE)
             change = self._change(kind, after, before_s=now_s() - delay_s)
             if change.written or change.removed:
                 if gone:
@@ -111,7 +111,7 @@
             remaining_s = until_s - now_s()
             if remaining_s <= 0:
                 return self._succeeded(change)
-            # Nobody wakes a watch for what it may be told of by now.
+            # Poll: no notification comes when a delayed change becomes visible.
             await self._wait(min(remaining_s, delay_s / 4 or remaining_s))
 
     async def get(self, name: str) -> StoredObject | None:
@@ -129,11 +129,11 @@
         self.calls[what] += 1
         if self._unreachable:
             await asyncio.sleep(limit_s)
-            raise StoreError("no answer in time", step=Step.STORE)
+            raise StoreError("no response in time", step=Step.STORE)
         await asyncio.sleep(ONE_WAY_LATENCY_S)
 
     async def _receive(self, objects: Mapping[str, StoredObject]) -> None:
-        """Take as long as the objects need on this VM's link to the store."""
+        """Sleep for the transfer time of the objects on this VM's link."""
         size = sum(len(stored.value) for stored in objects.values())
         self.simulation.received_bytes[self.vm] += size
         until_s = now_s() + size / self.simulation.bytes_per_s.get(self.vm, math.inf)
@@ -141,7 +141,7 @@
         while (remaining_s := until_s - now_s()) > 0:
             await self._wait(remaining_s)
             if self.simulation.cuts != cuts or self._unreachable:
-                raise StoreError("answer closed early", step=Step.STORE)
+                raise StoreError("response closed early", step=Step.STORE)
 
     def _succeeded(self, answer: Any) -> Any:
         self.last_success_s = now_s()
@@ -150,7 +150,7 @@
     def _change(self, kind: str, after: int, *, before_s: float) -> Change:
         written: dict[str, StoredObject] = {}
         removed: set[str] = set()
-        # What was written before the history went is not told of any more.
+        # Changes before the compacted revision are no longer reported.
         seen = max(after, self.simulation.compacted_revision)
         told = after
         for revision, name, stored in (
--- a/tests/store_wire.py
+++ b/tests/store_wire.py
@@ -1,4 +1,7 @@
-"""A store behind real connections in virtual time, whose answers come in pieces."""
+"""A scripted store on simulated connections in virtual time.
+
+Its responses may arrive in pieces.
+"""
 
 import asyncio
 import json
@@ -13,20 +16,20 @@
 CALL_TIMEOUT_S = 0.5
 READ_INACTIVITY_TIMEOUT_S = 4.0
 
-# When each piece of an answer arrives, counted from when it was asked for.
+# The pieces of a response with their delays in seconds after the request.
 Pieces = Sequence[tuple[float, bytes]]
 Script = Callable[[str], Pieces]
 
 
 class _Socket:
-    """Take socket options."""
+    """Accept and ignore socket options."""
 
     def setsockopt(self, *_: int) -> None:
         pass
 
 
 class _Transport(asyncio.Transport):
-    """Pass requests to a script, and its answers to a connection."""
+    """Pass requests to a script and its response to a connection."""
 
     def __init__(self, connection: asyncio.Protocol, script: Script) -> None:
         super().__init__({"socket": _Socket()})
@@ -64,7 +67,7 @@
 
 
 class WireLoop(VirtualLoop):
-    """Connect everything to one script."""
+    """Connect every address to one script."""
 
     def __init__(self, script: Script) -> None:
         super().__init__()
@@ -80,7 +83,7 @@
 
 
 def a_store() -> PlatformStore:
-    """Build a client of the store at the other end of the wire."""
+    """Build a client of the scripted store."""
     access = StoreAccess(
         address="10.0.0.9:80",
         call_timeout_s=CALL_TIMEOUT_S,
@@ -90,20 +93,20 @@
 
 
 def run_in_virtual_time(script: Script, work: Callable[[], Any]) -> None:
-    """Run a coroutine function in virtual time before a scripted store."""
+    """Run a coroutine function in virtual time against a scripted store."""
     with asyncio.Runner(loop_factory=lambda: WireLoop(script)) as runner:
         runner.run(work())
 
 
 def response_bytes(raw: Any, *, status: int = 200) -> bytes:
-    """Return an answer as it crosses the wire."""
+    """Return the bytes of a JSON response."""
     body = json.dumps(raw).encode()
     head = f"HTTP/1.1 {status} X\r\nContent-Length: {len(body)}\r\n\r\n"
     return head.encode() + body
 
 
 def in_pieces(data: bytes, count: int, *, first_s: float, gap_s: float) -> Pieces:
-    """Cut an answer into pieces that arrive at even gaps."""
+    """Split a response into pieces that arrive at even intervals."""
     size = -(-len(data) // count)
     return [
         (first_s + number * gap_s, data[number * size : (number + 1) * size])
@@ -112,34 +115,34 @@
 
 
 def a_configuration(revision: int, *, size: int = 300_000) -> dict[str, Any]:
-    """Return the operator's configuration as the store tells it."""
+    """Return the operator's configuration as the store sends it."""
     spec = {"version": revision, "routes": [], "note": "x" * size}
     return {"metadata": {"name": "main", "revision": revision}, "spec": spec}
 
 
 def a_list_response(revision: int) -> dict[str, Any]:
-    """Return the whole of the configuration's kind."""
+    """Return a list response with the configuration."""
     return {"items": [a_configuration(revision)], "atRevision": revision}
 
 
 def a_watch_response(revision: int) -> dict[str, Any]:
-    """Return the answer to a watch that tells of a new configuration."""
+    """Return the response to a watch that reports a new configuration."""
     event = {"object": a_configuration(revision)}
     return {"events": [event], "atRevision": revision}
 
 
 def an_empty_watch_response(revision: int) -> dict[str, Any]:
-    """Return the answer to a watch whose wait ended."""
+    """Return the response to a watch that timed out without a change."""
     return {"events": [], "atRevision": revision}
 
 
 class SlowStore:
-    """Answer right, and each time so much later."""
+    """Respond correctly, each time `slow_s` later."""
 
     def __init__(self, *, slow_s: float, revision: int = 5) -> None:
         self.slow_s = slow_s
         self.revision = revision
-        # From when on the revision after this one is there.
+        # When the next revision is written.
         self.changes_at_s = float("inf")
         self.requested_paths: list[str] = []
 
--- a/tests/test_entry_soak.py
+++ b/tests/test_entry_soak.py
@@ -1,4 +1,4 @@
-"""Real entry VMs hold their promises while faults overlap."""
+"""Entry VMs keep their guarantees while faults overlap."""
 
 import asyncio
 from collections import Counter
@@ -15,21 +15,24 @@
     return asyncio.run(soak(seed, lasts_s=LASTS_S, directory=directory))
 
 
-# Guards against faults that only real processes, sockets and signals show. What hangs
-# on how fast the machine is, is left to the soak by hand.
+# Guards against faults that only real processes, sockets and signals show.
+# Checks that depend on the speed of the machine are left to manual soak runs.
 @pytest.mark.parametrize("seed", [1, 14])
-def test_a_short_soak_breaks_no_promise(tmp_path: Path, seed: int) -> None:
+def test_short_soak_keeps_all_guarantees(tmp_path: Path, seed: int) -> None:
     run = _play(seed, tmp_path)
     assert run.failures(timed=False) == {}
-    assert sum(one.status == 200 for one in run.answered) > 100
+    assert sum(result.status == 200 for result in run.answered) > 100
 
 
-# Guards against entry VMs that go by an older configuration than was acknowledged: one
-# whose link to the store is slow has it from others, also when it is large.
-def test_a_configuration_is_in_force_in_time(tmp_path: Path) -> None:
+# Guards against entry VMs that apply an older configuration than acknowledged.
+# An entry VM with a slow link to the store fetches even a large configuration
+# from its peers.
+def test_new_configuration_is_applied_in_time(tmp_path: Path) -> None:
     run = _play(108, tmp_path)
     assert run.failures(timed=False) == {}
     assert "configurations in force" not in run.failures()
-    asked = Counter(one.status for one in run.answered if one.path.startswith("/new-"))
+    asked = Counter(
+        result.status for result in run.answered if result.path.startswith("/new-")
+    )
     assert asked[200] > 20
     assert asked[404] > 0
--- a/tests/timed_engines.py
+++ b/tests/timed_engines.py
@@ -1,4 +1,4 @@
-"""Engines that answer by a timetable, on a loop whose time takes no time."""
+"""Engines that respond on a timetable in virtual time."""
 
 import asyncio
 from collections.abc import Callable
@@ -30,7 +30,8 @@
 from rosepath.request_context import RelayPorts, RequestContext
 from rosepath.retry_window import RetryWindow
 
-# What an engine does after so many seconds: send bytes, lose its connection, or crash.
+# A timetable lists delays in seconds and what the engine does then: send bytes,
+# lose its connection or crash.
 CONNECTION_LOST = b""
 CRASH = b"crashes"
 RESTART_AFTER_S = 3.0
@@ -41,7 +42,10 @@
 def streams(
     received: ReceivedRequest, *at_s: float, until: int, ends: bool = True
 ) -> Timetable:
-    """Send the events up to `until` that the caller lacks, the last times over."""
+    """Stream the events after `Last-Event-Id` up to `until`.
+
+    `at_s` are the times of the head and the events; the last one repeats.
+    """
     first = int(received.headers.get("last-event-id", "0")) + 1
     steps: Timetable = [(at_s[0] if at_s else 0.02, stream_head(received))]
     for number in range(first, until + 1):
@@ -60,7 +64,7 @@
 
 @dataclass(slots=True)
 class ScriptedEngine:
-    """Hold a server, what it does when asked, and what it was asked when."""
+    """Own a server's script and record its requests and connection losses."""
 
     name: str
     script: Callable[[ReceivedRequest], Timetable]
@@ -73,7 +77,7 @@
     on_restart: "Callable[[ScriptedEngine], None]" = lambda _: None
 
     def crash(self) -> None:
-        """Lose all connections, and be back some seconds later."""
+        """Lose all connections and restart after `RESTART_AFTER_S`."""
         loop = asyncio.get_running_loop()
         self.up = False
         self.crashed_at_s.append(loop.time())
@@ -92,7 +96,7 @@
 
 
 class _TimedTransport(asyncio.Transport):
-    """Give a connection what its engine sends, when it is due."""
+    """Deliver the bytes of an engine's timetable to a connection."""
 
     def __init__(self, engine: ScriptedEngine, connection: Connection) -> None:
         super().__init__()
@@ -112,7 +116,8 @@
         received = ReceivedRequest(line, headers, body)
         self._engine.requests.append(received)
         self._engine.received_at_s.append(self._loop.time())
-        # What is due at one moment goes out as one: timers keep no order then.
+        # Bytes due at the same time are sent together, as timers with equal
+        # deadlines run in no guaranteed order.
         due: dict[float, list[bytes]] = {}
         for after_s, sent in self._engine.script(received):
             due.setdefault(after_s, []).append(sent)
@@ -128,7 +133,7 @@
             self._connection.data_received(b"".join(parts))
 
     def lose(self) -> None:
-        """Lose the connection, with all that was to come on it."""
+        """Lose the connection and cancel the pending sends."""
         for due in self._due:
             due.cancel()
         self._connection.connection_lost(ConnectionResetError())
@@ -148,7 +153,7 @@
 
 
 class TimedPool(HttpPool):
-    """Connect to engines that are objects of this process."""
+    """Connect to scripted engines in this process."""
 
     def __init__(self, engines: dict[str, ScriptedEngine]) -> None:
         super().__init__(clock=LoopClock())
@@ -170,7 +175,7 @@
 
 @dataclass(slots=True, kw_only=True)
 class Caller:
-    """Hold a request, and what its caller heard of an answer."""
+    """Hold a request and the response that its caller received."""
 
     path: str = "/drafts/1"
     headers: HTTPHeaders = field(default_factory=HTTPHeaders)
@@ -209,7 +214,7 @@
 
 
 def generation_caller(request_id: str = "q1", *, wait_ms: int = 20_000) -> Caller:
-    """Build a caller of a generation."""
+    """Build a caller that requests a generation."""
     return Caller(
         headers=HTTPHeaders(
             {
@@ -226,7 +231,7 @@
 
 @dataclass(slots=True)
 class RelayHarness:
-    """Hold a relay before engines, and its part of the retry budget."""
+    """Hold a relay, its scripted engines and its share of the retry budget."""
 
     relay: Relay
     fleet: Fleet
@@ -234,7 +239,7 @@
     engines: dict[str, ScriptedEngine]
 
     async def serve(self, caller: Caller, *, after_s: float = 0.0) -> None:
-        """Serve a caller who comes after some seconds."""
+        """Serve a caller that arrives after `after_s`."""
         await asyncio.sleep(after_s)
         caller.arrived_s = asyncio.get_running_loop().time()
         await self.relay.serve(cast(Any, caller))
@@ -246,7 +251,7 @@
     route: HostRoute | None = None,
     window_s: float = 10.0,
 ) -> RelayHarness:
-    """Build a relay before engines, with so many repeats in its window."""
+    """Build a relay in front of engines with a budget of `retries`."""
     chosen = route or a_route(timeout_s=20.0)
     catalog = a_catalog(chosen)
     clock, fleet = LoopClock(), Fleet()
@@ -283,12 +288,12 @@
 
 
 def pauses_generation(received: ReceivedRequest) -> Timetable:
-    """Send two events, stand still for four seconds, and send the rest."""
+    """Send two events, pause for four seconds and send the rest."""
     return streams(received, 0.05, 0.3, 4.3, until=8)
 
 
 def stops_sending(received: ReceivedRequest) -> Timetable:
-    """Send two events and nothing after them, with the connection open."""
+    """Send two events, then nothing, and keep the connection open."""
     return streams(received, 0.05, 0.3, until=2, ends=False)
 
 
@@ -308,7 +313,7 @@
 
 
 def add(harness: RelayHarness, engine: ScriptedEngine, *models: str) -> None:
-    """Let another engine come up, with a model that most ask for or with others."""
+    """Add an engine with the given resident models, `m0` by default."""
     harness.engines[engine.address] = engine
     holds = {model: frozenset[str]() for model in models or ("m0",)}
     harness.fleet.put(an_entry(engine.name, address=engine.address, models=holds))
@@ -317,7 +322,7 @@
 def one_script_each(
     *script: Callable[[ReceivedRequest], Timetable],
 ) -> Callable[[ReceivedRequest], Timetable]:
-    """Do the next of these for each request, whichever server it comes to."""
+    """Use the next script for each request, whichever server receives it."""
     left = list(script)
 
     def next_one(received: ReceivedRequest) -> Timetable:
@@ -349,7 +354,7 @@
 
 
 def plain_service_caller(*, model: bool = False) -> Caller:
-    """Build a caller of a plain service."""
+    """Build a caller of a service that runs no models."""
     caller = generation_caller()
     for name in () if model else ("Model", "Token-Usage", "Prompt-Prefix"):
         del caller.headers[name]
@@ -357,7 +362,7 @@
 
 
 class AdapterLoads(NoModelOrders):
-    """Load any adapter at once."""
+    """Load any adapter immediately."""
 
     async def ensure_adapter(
         self, _: str, server: BackendServer, prompt: Prompt, **__: Any
@@ -367,7 +372,7 @@
 
 
 def occupy_all_slots(harness: RelayHarness, name: str) -> None:
-    """Let all places of an engine be taken by other entry VMs."""
+    """Occupy all slots of an engine with requests of another entry VM."""
     server = harness.fleet.servers[name]
     server.peers["vm-9"] = PeerLoad(requests=server.entry.slots)
 
--- a/tests/virtual_time.py
+++ b/tests/virtual_time.py
@@ -1,27 +1,27 @@
-"""An event loop whose time jumps to the next timer: waits take no time at all."""
+"""An event loop whose clock jumps to the next timer instead of waiting."""
 
 import asyncio
 import selectors
 from typing import Any
 
-# Where the time of every run begins.
+# Initial time of every loop.
 START_S = 1000.0
 
 
 class _JumpingSelector(selectors.DefaultSelector):
-    """Find nothing to read, and let the time pass instead of waiting."""
+    """Report no events and advance the clock by the timeout."""
 
     now_s = START_S
 
     def select(self, timeout: float | None = None) -> list[Any]:
         if timeout is None:
-            raise RuntimeError("every task waits for something that never comes")
+            raise RuntimeError("deadlock: every task waits and no timer is pending")
         self.now_s += max(0.0, timeout)
         return []
 
 
 class VirtualLoop(asyncio.SelectorEventLoop):
-    """Run tasks on a time of its own; nothing in them may touch a socket."""
+    """Run tasks on a virtual clock; they must not use sockets."""
 
     def __init__(self) -> None:
         self._jumping = _JumpingSelector()
@@ -37,7 +37,7 @@
 
 
 class LoopClock:
-    """Tell the running loop's time."""
+    """Read the running loop's clock."""
 
     def monotonic_s(self) -> float:
         return now_s()
