--- a/tests/fleet_world.py
+++ b/tests/fleet_world.py
@@ -65,7 +65,8 @@
     changes_suppressed: bool = False
     # The store fails every call with a timeout and cuts every watch.
     down: bool = False
-    # The store fails every VM, so no late requests are counted.
+    # The store is down or suppresses changes for every VM, so no request counts
+    # as late.
     outage: bool = False
     # VMs whose store calls time out and whose watches are cut.
     blocked: set[str] = field(default_factory=set)
@@ -144,8 +145,8 @@
 
         Blocked VMs stay exempt until they are unblocked.
         """
-        harmed = set(vms) - self.blocked
-        self.disrupted_at_s.update(dict.fromkeys(harmed, now_s()))
+        disrupted = set(vms) - self.blocked
+        self.disrupted_at_s.update(dict.fromkeys(disrupted, now_s()))
 
     def block(self, *vms: str) -> None:
         """Fail every store call of some VMs."""
@@ -155,9 +156,9 @@
 
     def unblock(self, *, excluded: Sequence[str] = ()) -> None:
         """Restore the store for all blocked VMs except the excluded ones."""
-        back = self.blocked.difference(excluded)
-        self.blocked -= back
-        self._note_disruption(back)
+        restored = self.blocked.difference(excluded)
+        self.blocked -= restored
+        self._note_disruption(restored)
 
     def stall_watches(self, *vms: str) -> None:
         """Stop delivering data on the VMs' open watch connections."""
--- a/tests/test_retry_policy.py
+++ b/tests/test_retry_policy.py
@@ -20,13 +20,13 @@
     generation_caller,
     loses_connection,
     never_responds,
-    one_script_each,
     plain_service_caller,
     received_complete_stream,
     refuses,
     responds_quickly,
     responds_slowly,
     run,
+    successive_scripts,
 )
 
 
@@ -112,7 +112,7 @@
     # the next engine refuses it. Its caller would wait longer but does not
     # retry after a failure, so a 502 would lose the request.
     async def play() -> None:
-        script = one_script_each(never_responds, refuses, completes_stream)
+        script = successive_scripts(never_responds, refuses, completes_stream)
         route = replace(a_route(timeout_s=20.0), target_latency_s=4.0)
         harness = a_relay_harness(
             *engines_following(2, script), retries=1, window_s=4.0, route=route
@@ -129,7 +129,7 @@
     # available, the time that a stream that was never sent may wait for an
     # engine is over.
     async def play() -> None:
-        script = one_script_each(never_responds, refuses, completes_stream)
+        script = successive_scripts(never_responds, refuses, completes_stream)
         route = replace(a_route(timeout_s=20.0), target_latency_s=0.4)
         harness = a_relay_harness(
             *engines_following(2, script), retries=1, window_s=4.0, route=route
@@ -145,7 +145,7 @@
     # The sixth engine is dead. Refusals don't end a stream that may have run,
     # so they must not make it stay with a dead engine either.
     async def play() -> None:
-        script = one_script_each(*[refuses] * 5, never_responds, completes_stream)
+        script = successive_scripts(*[refuses] * 5, never_responds, completes_stream)
         harness = a_relay_harness(*engines_following(8, script), retries=60)
         caller = generation_caller()
         await harness.serve(caller)
@@ -158,7 +158,7 @@
     # The other server refused the request. A 503 would state that it did not
     # run.
     async def play() -> None:
-        script = one_script_each(responds_slowly, refuses, responds_quickly)
+        script = successive_scripts(responds_slowly, refuses, responds_quickly)
         harness = a_relay_harness(
             *engines_following(2, script), route=a_plain_service_route()
         )
@@ -173,7 +173,7 @@
     # The request left a silent server, and all others refuse it until its
     # deadline.
     async def play() -> None:
-        script = one_script_each(never_responds, refuses)
+        script = successive_scripts(never_responds, refuses)
         harness = a_relay_harness(
             *engines_following(2, script), route=a_plain_service_route()
         )
--- a/tests/test_silent_servers.py
+++ b/tests/test_silent_servers.py
@@ -24,7 +24,6 @@
     generation_caller,
     never_responds,
     occupy_all_slots,
-    one_script_each,
     pauses_first_request,
     pauses_generation,
     plain_service_caller,
@@ -36,6 +35,7 @@
     run,
     stops_sending,
     streams,
+    successive_scripts,
 )
 from virtual_time import START_S
 
@@ -177,7 +177,7 @@
         ) -> None:
             harness = a_relay_harness(
                 *engines_following(
-                    2, one_script_each(refuses, silent, completes_stream)
+                    2, successive_scripts(refuses, silent, completes_stream)
                 )
             )
             caller = generation_caller()
@@ -210,7 +210,7 @@
     # Servers of a plain service hold no models, so a model named by the caller
     # does not restrict the choice of server.
     async def play() -> None:
-        script = one_script_each(never_responds, responds_quickly)
+        script = successive_scripts(never_responds, responds_quickly)
         harness = a_relay_harness(
             *engines_following(2, script), route=a_plain_service_route()
         )
@@ -248,14 +248,14 @@
     # Five servers refuse, the sixth is slow. Leaving it for its silence would
     # take a retry, only to find that the limit of attempts is reached.
     async def play() -> None:
-        late = one_script_each(*[refuses] * 5, responds_slowly, responds_quickly)
+        late = successive_scripts(*[refuses] * 5, responds_slowly, responds_quickly)
         harness = a_relay_harness(
             *engines_following(8, late), retries=60, route=a_plain_service_route()
         )
         look_up = plain_service_caller()
         await harness.serve(look_up)
         assert look_up.status == 200
-        queued = one_script_each(
+        queued = successive_scripts(
             *[refuses] * 5, lambda it: streams(it, 3.0, until=8), completes_stream
         )
         harness = a_relay_harness(*engines_following(8, queued), retries=60)
--- a/tests/timed_engines.py
+++ b/tests/timed_engines.py
@@ -319,14 +319,14 @@
     harness.fleet.put(an_entry(engine.name, address=engine.address, models=holds))
 
 
-def one_script_each(
-    *script: Callable[[ReceivedRequest], Timetable],
+def successive_scripts(
+    *scripts: Callable[[ReceivedRequest], Timetable],
 ) -> Callable[[ReceivedRequest], Timetable]:
     """Use the next script for each request, whichever server receives it."""
-    left = list(script)
+    remaining = list(scripts)
 
     def next_one(received: ReceivedRequest) -> Timetable:
-        return (left.pop(0) if len(left) > 1 else left[0])(received)
+        return (remaining.pop(0) if len(remaining) > 1 else remaining[0])(received)
 
     return next_one
 
