--- a/tests/store_wire.py
+++ b/tests/store_wire.py
@@ -1,4 +1,7 @@
-"""A store behind real connections in virtual time, whose answers come in pieces."""
+"""A scripted store on simulated connections in virtual time.
+
+Its responses may arrive in pieces.
+"""
 
 import asyncio
 import json
@@ -11,22 +14,22 @@
 from rosepath.platform.store import PlatformStore, StoreAccess
 
 CALL_TIMEOUT_S = 0.5
-READ_PATIENCE_S = 4.0
+READ_INACTIVITY_TIMEOUT_S = 4.0
 
-# When each piece of an answer arrives, counted from when it was asked for.
+# The pieces of a response with their delays in seconds after the request.
 Pieces = Sequence[tuple[float, bytes]]
 Script = Callable[[str], Pieces]
 
 
 class _Socket:
-    """Take socket options."""
+    """Accept and ignore socket options."""
 
     def setsockopt(self, *_: int) -> None:
         pass
 
 
 class _Transport(asyncio.Transport):
-    """Pass requests to a script, and its answers to a connection."""
+    """Pass requests to a script and its response to a connection."""
 
     def __init__(self, connection: asyncio.Protocol, script: Script) -> None:
         super().__init__({"socket": _Socket()})
@@ -64,7 +67,7 @@
 
 
 class WireLoop(VirtualLoop):
-    """Connect everything to one script."""
+    """Connect every address to one script."""
 
     def __init__(self, script: Script) -> None:
         super().__init__()
@@ -80,30 +83,30 @@
 
 
 def a_store() -> PlatformStore:
-    """Build a client of the store at the other end of the wire."""
+    """Build a client of the scripted store."""
     access = StoreAccess(
         address="10.0.0.9:80",
         call_timeout_s=CALL_TIMEOUT_S,
-        read_patience_s=READ_PATIENCE_S,
+        read_patience_s=READ_INACTIVITY_TIMEOUT_S,
     )
     return PlatformStore(access, clock=LoopClock())
 
 
-def play(script: Script, work: Callable[[], Any]) -> None:
-    """Run a coroutine function in virtual time before a scripted store."""
+def run_in_virtual_time(script: Script, work: Callable[[], Any]) -> None:
+    """Run a coroutine function in virtual time against a scripted store."""
     with asyncio.Runner(loop_factory=lambda: WireLoop(script)) as runner:
         runner.run(work())
 
 
-def answer(raw: Any, *, status: int = 200) -> bytes:
-    """Return an answer as it crosses the wire."""
+def response_bytes(raw: Any, *, status: int = 200) -> bytes:
+    """Return the bytes of a JSON response."""
     body = json.dumps(raw).encode()
     head = f"HTTP/1.1 {status} X\r\nContent-Length: {len(body)}\r\n\r\n"
     return head.encode() + body
 
 
 def in_pieces(data: bytes, count: int, *, first_s: float, gap_s: float) -> Pieces:
-    """Cut an answer into pieces that arrive at even gaps."""
+    """Split a response into pieces that arrive at even intervals."""
     size = -(-len(data) // count)
     return [
         (first_s + number * gap_s, data[number * size : (number + 1) * size])
@@ -112,49 +115,54 @@
 
 
 def a_configuration(revision: int, *, size: int = 300_000) -> dict[str, Any]:
-    """Return the operator's configuration as the store tells it."""
+    """Return the operator's configuration as the store sends it."""
     spec = {"version": revision, "routes": [], "note": "x" * size}
     return {"metadata": {"name": "main", "revision": revision}, "spec": spec}
 
 
-def a_listing(revision: int) -> dict[str, Any]:
-    """Return the whole of the configuration's kind."""
+def a_list_response(revision: int) -> dict[str, Any]:
+    """Return a list response with the configuration."""
     return {"items": [a_configuration(revision)], "atRevision": revision}
 
 
-def a_change(revision: int) -> dict[str, Any]:
-    """Return the answer to a watch that tells of a new configuration."""
+def a_watch_response(revision: int) -> dict[str, Any]:
+    """Return the response to a watch that reports a new configuration."""
     event = {"object": a_configuration(revision)}
     return {"events": [event], "atRevision": revision}
 
 
-def no_change(revision: int) -> dict[str, Any]:
-    """Return the answer to a watch whose wait ended."""
+def an_empty_watch_response(revision: int) -> dict[str, Any]:
+    """Return the response to a watch that timed out without a change."""
     return {"events": [], "atRevision": revision}
 
 
 class SlowStore:
-    """Answer right, and each time so much later."""
+    """Respond correctly, each time `slow_s` later."""
 
     def __init__(self, *, slow_s: float, revision: int = 5) -> None:
         self.slow_s = slow_s
         self.revision = revision
-        # From when on the revision after this one is there.
-        self.changes_s = float("inf")
-        self.asked: list[str] = []
+        # When the next revision is written.
+        self.changes_at_s = float("inf")
+        self.requested_paths: list[str] = []
 
     def __call__(self, path: str) -> Pieces:
         asked_s = now_s()
-        self.asked.append(path)
+        self.requested_paths.append(path)
         query = parse_qs(urlsplit(path).query)
-        newest = self.revision + (asked_s >= self.changes_s)
+        newest = self.revision + (asked_s >= self.changes_at_s)
         if "watch" not in query:
-            return [(self.slow_s, answer(a_listing(newest)))]
+            return [(self.slow_s, response_bytes(a_list_response(newest)))]
         after = int(query["watch"][0])
         until_s = asked_s + int(query["waitMs"][0]) / 1000
         if newest > after:
-            return [(self.slow_s, answer(a_change(newest)))]
-        if self.changes_s <= until_s:
-            told_s = self.changes_s - asked_s + self.slow_s
-            return [(told_s, answer(a_change(self.revision + 1)))]
-        return [(until_s - asked_s + self.slow_s, answer(no_change(newest)))]
+            return [(self.slow_s, response_bytes(a_watch_response(newest)))]
+        if self.changes_at_s <= until_s:
+            due_s = self.changes_at_s - asked_s + self.slow_s
+            return [(due_s, response_bytes(a_watch_response(self.revision + 1)))]
+        return [
+            (
+                until_s - asked_s + self.slow_s,
+                response_bytes(an_empty_watch_response(newest)),
+            )
+        ]
