--- a/tests/crashing_servers.py
+++ b/tests/crashing_servers.py
@@ -106,9 +106,9 @@
         unrelated = not context.call.path.startswith(CRASHING_PATH)
         self.quarantined_unrelated += unrelated and code == QUARANTINED_CODE
 
-    async def _probe(self, address: str, *, limit_s: float) -> Contact:
+    async def _probe(self, address: str, *, limit_s: float) -> ProbeResult:
         await asyncio.sleep(ONE_WAY_LATENCY_S)
-        return Contact.ACCEPTED if self.servers[address].up else Contact.REFUSED
+        return ProbeResult.ACCEPTED if self.servers[address].up else ProbeResult.REFUSED
 
     def _backend_exchange(self, name: str) -> Callable[..., Any]:
         async def exchange(request: Request, *, on_head: Any, on_data: Any) -> Any:
--- a/tests/entry_builders.py
+++ b/tests/entry_builders.py
@@ -195,7 +195,9 @@
     )
 
 
-def a_crash_watch(clock: Clock, *, contact: Contact = Contact.ACCEPTED) -> CrashWatch:
+def a_crash_watch(
+    clock: Clock, *, contact: ProbeResult = ProbeResult.ACCEPTED
+) -> CrashWatch:
     """Build a crash watch whose connection probes all return `contact`."""
 
     async def probe(address: str, *, limit_s: float) -> ProbeResult:
--- a/tests/test_entry_soak.py
+++ b/tests/test_entry_soak.py
@@ -21,7 +21,7 @@
 def test_short_soak_keeps_all_guarantees(tmp_path: Path, seed: int) -> None:
     run = _play(seed, tmp_path)
     assert run.failures(timed=False) == {}
-    assert sum(result.status == 200 for result in run.answered) > 100
+    assert sum(result.status == 200 for result in run.responses) > 100
 
 
 # Guards against entry VMs that apply an older configuration than acknowledged.
@@ -32,7 +32,7 @@
     assert run.failures(timed=False) == {}
     assert "configurations in force" not in run.failures()
     asked = Counter(
-        result.status for result in run.answered if result.path.startswith("/new-")
+        result.status for result in run.responses if result.path.startswith("/new-")
     )
     assert asked[200] > 20
     assert asked[404] > 0
--- a/tests/test_idle_connections.py
+++ b/tests/test_idle_connections.py
@@ -32,15 +32,17 @@
         return super().time() + self.offset_s
 
 
-def play(course: Callable[[SteppedLoop, RunningGateway], Awaitable[None]]) -> None:
-    async def answers(received: ReceivedRequest, writer: asyncio.StreamWriter) -> None:
+def run_scenario(
+    scenario: Callable[[OffsetClockLoop, RunningGateway], Awaitable[None]],
+) -> None:
+    async def respond(received: ReceivedRequest, writer: asyncio.StreamWriter) -> None:
         writer.write(answer(received, 200, b"whole"))
 
     async def run() -> None:
         loop = asyncio.get_running_loop()
         assert isinstance(loop, OffsetClockLoop)
         route = a_route(kind=RouteKind.IDEMPOTENT, service="desk", resumable=False)
-        async with running_gateway(ScriptedServer("s1", answers), route=route) as node:
+        async with running_gateway(ScriptedServer("s1", respond), route=route) as node:
             node.gateway.apply_limits(CallerLimits(idle_timeout_s=IDLE_S))
             await scenario(loop, node)
 
@@ -49,16 +51,16 @@
 
 
 async def until_idle(node: RunningGateway) -> None:
-    """Wait until the entry VM waits for a request."""
+    """Wait until the entry VM has an idle connection."""
     while not node.gateway.idle:  # noqa: ASYNC110
         await asyncio.sleep(0)
 
 
-def test_a_request_that_had_arrived_is_read_though_the_idle_time_is_over() -> None:
-    # The loop stood still for a moment, as while a large configuration is taken
-    # in. A request came meanwhile, and the idle time ended after it: the
-    # connection was closed, and its caller got no answer.
-    async def course(loop: SteppedLoop, node: RunningGateway) -> None:
+def test_a_request_received_before_the_idle_timeout_is_handled() -> None:
+    # While the event loop is blocked, for example by applying a large
+    # configuration, a request arrives and then the idle timeout expires.
+    # If the timer ran first, it would close the connection.
+    async def scenario(loop: OffsetClockLoop, node: RunningGateway) -> None:
         reader, writer = await node.connect()
         await until_idle(node)
         writer.write(request(GET_DRAFT))
@@ -68,11 +70,10 @@
     run_scenario(scenario)
 
 
-def test_a_request_whose_head_is_arriving_is_not_taken_for_idle() -> None:
-    # A head may take some seconds to come, and its connection may have been idle
-    # for most of the idle time before: closed at its end, half of a request was
-    # thrown away.
-    async def course(loop: SteppedLoop, node: RunningGateway) -> None:
+def test_a_connection_receiving_a_request_head_is_not_idle() -> None:
+    # A head that starts late in the idle timeout may take seconds to arrive.
+    # Closing the connection at the timeout would discard half of a request.
+    async def scenario(loop: OffsetClockLoop, node: RunningGateway) -> None:
         reader, writer = await node.connect()
         await until_idle(node)
         loop.offset_s += IDLE_S - 1.0
@@ -90,10 +91,10 @@
     run_scenario(scenario)
 
 
-def test_a_connection_on_which_nothing_comes_is_closed() -> None:
-    # Our timer stands in for the library's: without it, callers that went away
-    # silently would keep their connections for ever.
-    async def course(loop: SteppedLoop, node: RunningGateway) -> None:
+def test_an_idle_connection_is_closed_after_the_idle_timeout() -> None:
+    # The gateway's timer replaces the one of the HTTP library. Without it,
+    # connections of callers that vanished would stay open forever.
+    async def scenario(loop: OffsetClockLoop, node: RunningGateway) -> None:
         reader, _ = await node.connect()
         await until_idle(node)
         loop.offset_s += IDLE_S + 0.1
@@ -102,10 +103,10 @@
     run_scenario(scenario)
 
 
-def test_a_connection_that_its_caller_closed_is_forgotten() -> None:
-    # Each connection that was closed between two requests stayed listed as idle:
-    # an entry VM's memory grew with every connection that it ever had.
-    async def course(_: SteppedLoop, node: RunningGateway) -> None:
+def test_a_connection_closed_by_its_caller_is_not_listed_as_idle() -> None:
+    # If a connection closed between requests stayed listed as idle, an entry
+    # VM's memory use would grow with every connection.
+    async def scenario(_: OffsetClockLoop, node: RunningGateway) -> None:
         _, writer = await node.connect()
         await until_idle(node)
         writer.close()
--- a/tests/test_retry_policy.py
+++ b/tests/test_retry_policy.py
@@ -40,7 +40,7 @@
         def full_at_first(received: ReceivedRequest) -> Timetable:
             return (
                 completes_stream(received)
-                if loop.time() - begun_s > 3.0
+                if loop.time() - started_s > 3.0
                 else refuses(received)
             )
 
--- a/tests/test_store_calls.py
+++ b/tests/test_store_calls.py
@@ -153,7 +153,7 @@
         await asyncio.sleep(4 * SLOW_S)
         following.cancel()
         assert 5 in taken_s, (
-            f"{len(store.requested_paths)} calls in {now_s() - begun_s} s"
+            f"{len(store.requested_paths)} calls in {now_s() - started_s} s"
         )
 
     run_in_virtual_time(store, run)
--- a/tests/test_unknown_routes.py
+++ b/tests/test_unknown_routes.py
@@ -81,7 +81,7 @@
     ) -> RecordingExchange:
         simulation.bytes_per_s[VM] = SIZE / (0.6 * WAIT_S)
         simulation.configure(3, paths=PATHS, size=SIZE)
-        node.tables.catalog_watcher.hear(simulation.revision)
+        node.tables.catalog_watcher.note_peer_revision(simulation.revision)
         return await send_request(simulation, NEW)
 
     exchange = send_in_scenario(monkeypatch, scenario)
@@ -99,7 +99,7 @@
     ) -> RecordingExchange:
         simulation.block(VM)
         simulation.configure(3, paths=PATHS)
-        node.tables.catalog_watcher.hear(simulation.revision)
+        node.tables.catalog_watcher.note_peer_revision(simulation.revision)
         return await send_request(simulation, NEW)
 
     exchange = send_in_scenario(monkeypatch, scenario)
@@ -117,7 +117,7 @@
     ) -> RecordingExchange:
         simulation.block(VM)
         simulation.configure(3, paths=PATHS)
-        node.tables.catalog_watcher.hear(simulation.revision)
+        node.tables.catalog_watcher.note_peer_revision(simulation.revision)
         return await send_request(simulation, "/drafts/1")
 
     exchange = send_in_scenario(monkeypatch, scenario)
@@ -133,7 +133,9 @@
     async def scenario(
         simulation: FleetSimulation, node: EntryNode
     ) -> RecordingExchange:
-        node.tables.catalog_watcher.hear(node.tables.catalog_watcher.changed_revision)
+        node.tables.catalog_watcher.note_peer_revision(
+            node.tables.catalog_watcher.changed_revision
+        )
         return await send_request(simulation, NEW)
 
     exchange = send_in_scenario(monkeypatch, scenario)
@@ -150,7 +152,7 @@
     ) -> RecordingExchange:
         simulation.bytes_per_s[VM] = SIZE / (0.6 * WAIT_S)
         simulation.configure(3, size=SIZE)
-        node.tables.catalog_watcher.hear(simulation.revision)
+        node.tables.catalog_watcher.note_peer_revision(simulation.revision)
         return await send_request(simulation, NEW)
 
     exchange = send_in_scenario(monkeypatch, scenario)
--- a/tests/test_unrecorded_departures.py
+++ b/tests/test_unrecorded_departures.py
@@ -19,7 +19,7 @@
     # A restarted lease holder must not report its departures as complete for
     # the time before its start: its first listing already lacks the server, so
     # it never reports that departure to the other VMs.
-    async def course(simulation: FleetSimulation) -> None:
+    async def scenario(simulation: FleetSimulation) -> None:
         holder = simulation.holder
         for number in range(3):
             simulation.kill(holder)
@@ -41,7 +41,7 @@
 ) -> None:
     # A single closed watch must not count as an outage: a server missing from
     # the listing right after it was kept as if its entry had expired.
-    async def course(simulation: FleetSimulation) -> None:
+    async def scenario(simulation: FleetSimulation) -> None:
         # Vary the time since the last store read.
         for number in range(10):
             simulation.cut_watches()
