--- a/src/rosepath/claims.py
+++ b/src/rosepath/claims.py
@@ -163,6 +163,7 @@
     except ConflictError:
         pass
     except StoreError as error:
+        # A write of unknown outcome may have created the claim: read it back.
         if not error.unknown:
             raise _store_unavailable(error) from error
     try:
@@ -170,6 +171,8 @@
     except StoreError as error:
         raise _store_unavailable(error) from error
     if stored is None:
+        # The conflicting claim was withdrawn meanwhile, or a write of unknown
+        # outcome did not take effect.
         raise refuse(
             503,
             "claim_lost",
--- a/src/rosepath/cli.py
+++ b/src/rosepath/cli.py
@@ -142,14 +142,16 @@
     dry_run: bool,
     output: Output,
 ) -> int:
-    identity = change_id or uuid.uuid4().hex
+    resolved_change_id = change_id or uuid.uuid4().hex
 
     async def work(stub: OperatorsStub) -> pb.ChangeReply:
         version = expected_version
         if version < 0:
+            # Each list reply has the current version. Quiet windows are listed
+            # because there are few of them.
             version = (await stub.List(pb.ListRequest(kind="quiet_window"))).version
         request = pb.ChangeRequest(
-            change_id=identity,
+            change_id=resolved_change_id,
             expected_version=version,
             dry_run=dry_run,
             operations=operations,
@@ -161,7 +163,7 @@
         print_json(
             {
                 "version": reply.version,
-                "change_id": identity,
+                "change_id": resolved_change_id,
                 "already_applied": reply.already_applied,
                 "dry_run": dry_run,
                 "diff": list(reply.diff),
@@ -169,8 +171,8 @@
             }
         )
         return 0
-    verb = "would change" if dry_run else "version"
-    print(f"{verb} {reply.version}  change_id {identity}")
+    label = "would change" if dry_run else "version"
+    print(f"{label} {reply.version}  change_id {resolved_change_id}")
     for line in reply.diff:
         print(f"  {line}")
     for move in reply.moves:
@@ -279,7 +281,7 @@
 
 
 def moves(*, output: Output = "table") -> int:
-    """Show the moves ordered by this entry VM, with their reasons.
+    """Show the moves ordered by the entry VM that responds, with reasons.
 
     :param output: table or json
     """
@@ -300,7 +302,7 @@
     """Wait until a version is in force on every live entry VM.
 
     :param version: the version
-    :param timeout_s: after this long, fail and name the entry VMs still behind
+    :param timeout_s: after this long, fail and name the entry VMs with an older version
     """
 
     async def work(stub: OperatorsStub) -> list[str]:
--- a/src/rosepath/deferred_handlers.py
+++ b/src/rosepath/deferred_handlers.py
@@ -50,8 +50,9 @@
         try:
             await store_request(self.ports.platform, request)
         except StoreError as error:
-            # If the store's reply was lost, the request may have been stored
-            # and may run. Only a write known to have failed means "not run".
+            # If the store's response was lost, the request may have been
+            # stored and may run. Only a write known to have failed means
+            # "not run".
             raise refuse(
                 503,
                 "store_unavailable",
@@ -87,10 +88,10 @@
         if found is None:
             raise refuse(404, "not_found", "no such deferred request", step=Step.DEFER)
         state, body = found
-        answer: dict[str, Any] = {"id": self.deferred_id, "status": state}
+        response: dict[str, Any] = {"id": self.deferred_id, "status": state}
         if body:
-            answer["result"] = _as_json(body)
-        await self.finish(answer)
+            response["result"] = _as_json(body)
+        await self.finish(response)
 
 
 class _Deferral(BaseModel):
--- a/src/rosepath/engine_choice.py
+++ b/src/rosepath/engine_choice.py
@@ -11,6 +11,7 @@
 
 # Assumed number of prompt tokens that an engine prefills per second.
 PREFILL_TOKENS_PER_S = 30_000.0
+# Added for an engine in another data centre.
 REMOTE_PENALTY_S = 0.002
 # A failed request is prefilled again on another engine, on top of the time
 # already spent.
@@ -20,7 +21,8 @@
 ADAPTER_PENALTY_S = 0.03
 ADAPTER_SLOT_PENALTY_S = 0.12
 # An engine that is loading a model, or whose adapter slots are all in use,
-# accepts no further adapter for about this long.
+# accepts no further adapter for about this long. An adapter delay of this
+# length means that the engine has no capacity for the adapter now.
 OCCUPIED_PENALTY_S = 1.0
 # Each request in an engine's batch slightly delays the tokens of the others.
 BATCH_PENALTY_S = 0.004
@@ -28,7 +30,11 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class EngineChoice:
-    """Hold the chosen engine, tokens to prefill and predicted delay."""
+    """Hold the chosen engine and the predicted time to the first token.
+
+    `unread_tokens` are the prompt tokens that the engine must prefill because
+    it has not cached them.
+    """
 
     server: BackendServer
     unread_tokens: int
@@ -50,6 +56,7 @@
     engine: BackendServer, *, adapter_slots: int, now_s: float
 ) -> float:
     """Return the expected delay of loading one more adapter onto an engine."""
+    # Adapters are in use as `model/adapter`, base models under their name.
     used = sum("/" in target for target in engine.targets_in_use)
     if engine.order_busy_until_s > now_s or used >= adapter_slots:
         return OCCUPIED_PENALTY_S
@@ -83,7 +90,12 @@
     cached_tokens: Callable[[BackendServer, Prompt], int],
     rng: random.Random,
 ) -> EngineChoice | None:
-    """Choose among the engines that hold the prompt's model."""
+    """Choose among the engines that have the prompt's model.
+
+    `cut_off` names the data centres from which no state messages arrive.
+    Their engines, and others that are not healthy, are chosen only if no
+    healthy engine has the model.
+    """
     eligible = [
         engine
         for engine in engines
@@ -111,8 +123,8 @@
             )
         first_token_s += ERROR_PENALTY_S * engine.error_rate
         # While no engine has the prefix cached, all VMs should build the cache
-        # on the same engine, so the first in the ranking wins unless it is
-        # clearly busier.
+        # on the same engine, so each rank below the first adds a small cost.
+        # The first wins unless it is clearly busier.
         cost_s = first_token_s + 0.01 * min(rank, 3)
         key = (cost_s, rng.random())
         if best_key is None or key < best_key:
--- a/src/rosepath/engine_plan_state.py
+++ b/src/rosepath/engine_plan_state.py
@@ -14,17 +14,19 @@
 
 # Period over which the gain or loss per second of a swap is counted.
 HORIZON_S = 6.0
-# Requests per second lost while no engine holds a model: for a model without
-# demand, as busy models change every few seconds; for one with demand; per
-# waiting request; and per request per second.
+# Requests per second lost while no engine has a model without demand. It is
+# not zero, as the models in demand change every few seconds.
 ABSENT_IDLE_LOSS_PER_S = 0.5
+# The same for a model with demand; each waiting request and each expected
+# request per second adds to it.
 ABSENT_REQUESTED_LOSS_PER_S = 1.0
 ABSENT_WAITING_LOSS_PER_S = 1.0
 ABSENT_LOSS_PER_REQUEST = 2.0
-# An unload waits for the running requests of its model, and the engine accepts
-# no other order until they end.
+# Cost of an unload per running request of the model, in lost requests. The
+# unload waits until they end, and the engine accepts no other order meanwhile.
 IN_USE_UNLOAD_COST = 2.5
-# A recently loaded model is not unloaded again for a small gain.
+# Added cost of the unload of a model that was loaded within RECENT_LOAD_S, so
+# that it is not unloaded again for a small gain.
 RECENT_LOAD_S = 4.0
 RECENT_LOAD_UNLOAD_COST = 3.0
 
@@ -60,6 +62,7 @@
     engine: str
     model: str
     evicted_models: tuple[str, ...] = ()
+    # Late or lost requests that the swap is expected to avoid, less its costs.
     gain: float = 0.0
     from_store: bool = False
 
@@ -73,9 +76,9 @@
     demands: Mapping[str, ModelDemand]
     limits: EngineLimits
     unserved_requests: Mapping[str, float]
-    # Engines by model that they hold or load.
+    # Names of the engines that have or are loading each model.
     replicas: dict[str, set[str]]
-    # Models by engine.
+    # Models that each engine has or is loading.
     resident_models: dict[str, set[str]]
     workload_by_model: dict[str, Workload] = field(default_factory=dict)
     workload_by_engine: dict[str, Workload] = field(default_factory=dict)
@@ -141,7 +144,7 @@
         self._unload_costs.clear()
 
     def replica_workload(self, model: str, replicas: int) -> Workload:
-        """Return the workload of each replica if a model has this many."""
+        """Return the workload per replica of a model with so many replicas."""
         workload = self.workload_by_model.get(model)
         if workload is None or not replicas:
             return NO_WORKLOAD
@@ -154,12 +157,18 @@
         removed: Workload = NO_WORKLOAD,
         added: Workload = NO_WORKLOAD,
     ) -> float:
-        """Return an engine's late requests per second with a changed load."""
+        """Return the requests per second that an engine would serve late.
+
+        `removed` and `added` change its workload in the plan state.
+        """
         workload = self.workload_by_engine[engine].plus(removed, times=-1.0).plus(added)
         return late_per_s(workload, self.limits)
 
     def missing_adapters(self, engine: EngineView) -> float:
-        """Return the requested adapters an engine lacks and has slots for."""
+        """Return how many adapters an engine lacks and has slots for.
+
+        A requested adapter counts 1/N if its model has N replicas.
+        """
         missing, present = 0.0, 0
         for model in self.resident_models[engine.name]:
             demand = self.demands.get(model)
@@ -197,13 +206,13 @@
         """Return the late requests per second a change in replicas saves."""
         if model not in self.workload_by_model:
             return 0.0
-        now, later = (
+        current, changed = (
             self.replica_workload(model, replicas),
             self.replica_workload(model, new_replicas),
         )
         return sum(
             self.late_per_s_on(name)
-            - self.late_per_s_on(name, removed=now, added=later)
+            - self.late_per_s_on(name, removed=current, added=changed)
             for name in holders
         )
 
--- a/src/rosepath/lease_keeper.py
+++ b/src/rosepath/lease_keeper.py
@@ -32,7 +32,7 @@
 
 
 class LeaseKeeper:
-    """Own this VM's view of its leases, and acquire, renew and release them.
+    """Own what this VM last recorded of each lease; acquire, renew, release.
 
     At most one VM holds a lease at a time: each acts only while `valid`
     returns true, and all writes to the store are conditional on the version.
@@ -44,10 +44,14 @@
         self._platform = platform
         self._me = me
         self._clock = clock
+        # All by lease name. The expiry of another VM's lease is timed from
+        # `_first_seen_s`, when this VM first saw the current version.
         self._first_seen_s: dict[str, float] = {}
-        self._announced: dict[str, int] = {}
-        self._announced_s: dict[str, float] = {}
-        self._last_announced_s: dict[str, float] = {}
+        # The highest version announced in a state message, and the times of
+        # its first message and of the last message of any version.
+        self._announced_versions: dict[str, int] = {}
+        self._version_announced_s: dict[str, float] = {}
+        self._last_message_s: dict[str, float] = {}
         self._resignations: dict[str, Resignation] = {}
         # Callbacks that return the quarantined requests to write into a lease,
         # and receive those of each lease that is read.
@@ -80,10 +84,10 @@
         store has.
         """
         now_s = self._clock.monotonic_s()
-        self._last_announced_s[name] = now_s
-        if version > self._announced.get(name, 0):
-            self._announced[name] = version
-            self._announced_s[name] = now_s
+        self._last_message_s[name] = now_s
+        if version > self._announced_versions.get(name, 0):
+            self._announced_versions[name] = version
+            self._version_announced_s[name] = now_s
 
     def note_resignation(
         self, name: str, *, version: int, last_action_age_s: float
@@ -99,9 +103,9 @@
     def resign(self, name: str) -> int:
         """Stop acting as the holder; return the resigned version, or 0.
 
-        For a holder that cannot reach the store to release the lease there.
-        Once it announces the resignation, the others need not wait for the
-        expiry.
+        A holder that cannot reach the store resigns instead of releasing the
+        lease. Once it announces the resignation, the other VMs need not wait
+        for the expiry.
         """
         row = self.rows[name]
         # The last read may have found another VM's lease, which only that
@@ -113,20 +117,24 @@
     def accept_handover(
         self, name: str, *, version: int, fence: int, last_action_age_s: float
     ) -> bool:
-        """Take a lease over from its stopping holder without the store.
+        """Accept a lease handed over directly by its departing holder.
 
-        The previous holder has stopped acting and has named only this VM as
-        its successor. Until a write to the store succeeds, the lease is valid
-        only as far as peers' acknowledgements extend it.
+        The previous holder has stopped acting and has named this VM as its
+        only successor; the store is not involved. Until a write to the store
+        succeeds, the lease is valid only as far as peers' acknowledgements
+        extend it.
         """
         row = self.rows.setdefault(name, LeaseRow(name=name))
-        newest = max(row.version, self._announced.get(name, 0))
+        newest = max(row.version, self._announced_versions.get(name, 0))
         if row.holder == self._me or version < newest or fence < row.fence:
             return False
         now_s = self._clock.monotonic_s()
+        # Engines take quickly alternating holders for two concurrent ones, so
+        # a VM that held the lease before waits longer.
         pause_s = self.policy.turn_s if self._me in row.previous_holders else 0.0
         row.previous_holders = previous_holders_of(row, me=self._me)
         row.version, row.holder = version, self._me
+        # Splits the next fencing token into its parts, see `LeaseRow.fence`.
         row.term, row.direct_handovers = divmod(fence + 1, FENCES_PER_TERM)
         row.held_until_s = row.checked_at_s = now_s
         row.earliest_act_s = (
@@ -163,7 +171,7 @@
         return row.term if row else 0
 
     def fence(self, name: str) -> int:
-        """Return the fencing token for acts under a lease, or 0."""
+        """Return the fencing token for orders under a lease, or 0."""
         row = self.rows.get(name)
         return row.fence if row else 0
 
@@ -215,7 +223,7 @@
                 first_seen_s=first_seen_s,
                 policy=self.policy,
                 resigned=resigned,
-                last_announced_s=self._last_announced_s.get(row.name, -1e9),
+                last_announced_s=self._last_message_s.get(row.name, -1e9),
             )
             grounds = self._takeover_grounds(row)
             await self._write(row, term=row.term + 1, grounds=grounds)
@@ -239,9 +247,11 @@
         # The expiry of a version is timed from its first read, or from its
         # announcement if that came earlier.
         if version != row.version or row.name not in self._first_seen_s:
-            announced = version != 0 and version == self._announced.get(row.name)
+            announced = version != 0 and version == self._announced_versions.get(
+                row.name
+            )
             self._first_seen_s[row.name] = (
-                self._announced_s[row.name] if announced else now_s
+                self._version_announced_s[row.name] if announced else now_s
             )
         row.version = version
         row.holder = ""
@@ -254,16 +264,16 @@
                 if record.term > row.term:
                     row.term, row.direct_handovers = record.term, 0
             case Result(error=problem):
-                # Another writer overwrote it. Each term took at least one
-                # write, so the version is at least as high as every term used
-                # so far.
+                # Another program overwrote the record. Each term took at
+                # least one write, so the version is at least as high as
+                # every term used so far.
                 _log.warning("lease_unreadable", step="lease", why=problem)
                 row.holder = UNKNOWN_HOLDER
                 row.term, row.direct_handovers = max(row.term, stored.version), 0
 
     async def _write(self, row: LeaseRow, *, term: int, grounds: str = "") -> None:
-        # The duration counts from before the write: however late the reply, no
-        # other VM can have seen this version for longer.
+        # The duration counts from before the write. However late the response
+        # is, the lease thus expires here before another VM takes it over.
         started_s = self._clock.monotonic_s()
         previous_holders = previous_holders_of(row, me=self._me)
         value = encode_lease(
@@ -292,8 +302,8 @@
                 return
             version = stored.version
         if row.holder != self._me or term != row.term:
-            # A VM that finds itself named in the store starts a new term,
-            # too.
+            # Also logged if this VM was already the holder in the store, for
+            # example before a restart, and starts a new term.
             _log.info(
                 "lease_taken",
                 step="lease",
@@ -313,8 +323,8 @@
     async def _resolve_conflict(self, row: LeaseRow) -> None:
         """Drop a lease after a conflict, unless this VM wrote it last.
 
-        The store may apply an unanswered renewal late. The next renewal then
-        fails, as it does not expect the version of the late one.
+        The store may apply a renewal late whose response was lost. The next
+        renewal then conflicts with the version that the late one wrote.
         """
         if row.holder == self._me:
             stored = await self._platform.get(f"{LEASE_KIND}/{row.name}")
@@ -342,7 +352,10 @@
         row.checked_at_s = -1e9
 
     async def release(self, name: str) -> int:
-        """Release a lease; return the version of its end, or 0."""
+        """Release a lease; return its last known version.
+
+        Returns 0 if this VM does not hold the lease.
+        """
         row = self.rows.get(name)
         if row is None or row.holder != self._me:
             return 0
--- a/src/rosepath/node.py
+++ b/src/rosepath/node.py
@@ -1,4 +1,4 @@
-"""One entry VM: its tables, the components that use them and their loops."""
+"""Build an entry VM from its components and run their loops."""
 
 import asyncio
 import random
@@ -275,7 +275,8 @@
         """Stop gracefully.
 
         Report unready, announce the departure, drain the requests in flight,
-        release the lease and the share units, then close everything.
+        release the placement lease and this VM's share units, then close
+        everything.
         """
         self.stopping = True
         _log.info("stopping", in_flight=len(self.in_flight))
@@ -381,7 +382,8 @@
             return []
         view = self.placer.predicted_view(accepted.configuration)
         policy = self.placer.policy()
-        # The prediction assumes that the planned anchors are already stored.
+        # An anchor is the engine that must keep a copy of a base model. The
+        # prediction assumes that the planned anchors are already stored.
         view = replace(view, anchors=plan(view, policy).anchors)
         return [
             f"{move.action.value} {move.target} on {move.backend_server} "
@@ -403,4 +405,5 @@
         return self.settings.entry_vm in top(name, all_relays(self.tables.entry_vms), 1)
 
     def _is_alive(self, runner: str) -> bool:
+        """Return whether the VM of a runner, named `VM#ID`, is alive."""
         return runner.partition("#")[0] in alive(self.tables.entry_vms)
--- a/src/rosepath/peer_exchange.py
+++ b/src/rosepath/peer_exchange.py
@@ -1,4 +1,4 @@
-"""State messages between this entry VM and the others: content and effects."""
+"""Build this entry VM's state messages and apply those of the others."""
 
 import asyncio
 import json
@@ -22,12 +22,14 @@
 SEND_DELAY_S = 0.01
 JOIN_RETRY_S = 0.3
 JOIN_RETRY_MAX_S = 2.0
-# A server to which a connection failed is reported as down for so long.
-# Each report keeps requests off it until the next one may arrive.
+# State messages report a server as down for this long after a connection to
+# it failed.
 DOWN_REPORTED_S = 0.5
+# A VM that receives such a report sends the server no requests for this long,
+# by which time the next report may have arrived.
 DOWN_APPLIED_S = 0.4
-# A holder whose last successful call to the store is older than this has
-# missed a renewal of its lease, which is due each second.
+# If the last successful call to the store of the placement lease's holder is
+# older than this, it has missed a renewal, which is due each second.
 STORE_FAILURE_S = 1.6
 VM_KIND = "rosepath-entry-vms"
 
@@ -48,7 +50,8 @@
 class PeerExchange:
     """Build this VM's state messages and apply those of other entry VMs.
 
-    Owns the `PeerLink`, over which they are sent and received.
+    Owns the `PeerLink`, over which they are sent and received. `boot_clock`
+    lets the link detect that the VM was frozen or suspended.
     """
 
     def __init__(
@@ -82,7 +85,7 @@
             address,
             peers,
             clock=clock,
-            describe=self._describe,
+            describe=self._own_state,
             on_state=self._apply_state,
             on_adapter_request=coordinator.handle_adapter_request,
             data_centre=data_centre,
@@ -113,6 +116,7 @@
                 self.peers.note_address(stored.name.partition("/")[2], address)
         self.link.send_state()
         _log.info("joined", peers=sorted(self.peers.peers))
+        # The supervisor would start `join` again if it returned.
         await asyncio.Event().wait()
 
     async def _register(self, name: str, value: bytes) -> None:
@@ -121,7 +125,8 @@
         except ConflictError:
             await self._store.put(name, value, expected_version=None)
 
-    def _describe(self, start: str, number: int) -> PeerState:
+    def _own_state(self, start: str, number: int) -> PeerState:
+        """Return this VM's current state, as message `number` of `start`."""
         self._coordinator.note_state_sent(number)
         now_s = self._clock.monotonic_s()
         unreached = [
@@ -133,8 +138,9 @@
         sends_totals = holding and self.peers.large_fleet
         leaving, complete_ago_s = self._tables.departures.recent()
         if not holding:
-            # Only the holder, which watches the store continuously, decides
-            # whether an entry was removed or has only expired.
+            # Other VMs report only draining servers. Whether a server's entry
+            # was removed or has only expired is decided by the holder of the
+            # placement lease, which watches the store continuously.
             leaving = tuple(server for server in leaving if not server.gone_at)
         totals = self._totals() if sends_totals else {}
         return PeerState(
@@ -179,7 +185,7 @@
         )
 
     def send_state_soon(self) -> None:
-        """Send one state message soon for all calls until then."""
+        """Schedule a state message, unless one is scheduled already."""
         if not self._send_scheduled:
             self._send_scheduled = True
             asyncio.get_running_loop().call_later(
@@ -211,7 +217,7 @@
         self._coordinator.handle_peer_state(state)
 
     def _apply_ages(self, state: PeerState) -> None:
-        """Apply the holder's reported ages in place of reads of the store."""
+        """Count the reported ages of the holder's tables as store reads."""
         tables = self._tables
         tables.servers_watcher.age.note_peer_age(
             known_ago_s=state.known_ago_s, complete_ago_s=state.complete_ago_s
@@ -282,9 +288,10 @@
                 server.down_until_s = until_s
 
     def _apply_load(self, state: PeerState) -> None:
-        """Apply a VM's load to the servers of its last two messages.
+        """Apply a VM's load, and drop its load from servers no longer named.
 
-        A VM has load at only a few of all servers, so the others are skipped.
+        A VM has load at only a few of all servers, so only those in its last
+        two state messages are updated.
         """
         servers = self._tables.fleet.servers
         for name in (
@@ -306,7 +313,7 @@
                 server.peers[state.entry_vm] = total.minus(own_load(server))
         self._servers_with_load[state.entry_vm] = frozenset(state.totals)
 
-    async def forget_silent(self) -> None:
+    async def forget_inactive(self) -> None:
         """Drop the load of VMs that exceeded the inactivity timeout."""
         if self.peers.large_fleet and not self._coordinator.term:
             return
--- a/src/rosepath/placement_copies.py
+++ b/src/rosepath/placement_copies.py
@@ -1,4 +1,7 @@
-"""Helpers for planning: removable copies, their size, and moves."""
+"""Helpers for planning copies of base models: surplus copies, sizes, moves.
+
+A base is a base model. A copy is a base with its adapters on one engine.
+"""
 
 from collections.abc import Mapping
 
@@ -52,8 +55,8 @@
 def copy_bytes(view: PlacementView, engine: EngineView, base: str) -> int:
     """Return the memory of a copy and its adapters on an engine."""
     adapters = view.adapters.get(base, {})
-    extra = sum(size for t, size in adapters.items() if t in engine.targets)
-    return view.artifacts.get(base, 0) + extra
+    adapter_bytes = sum(size for t, size in adapters.items() if t in engine.targets)
+    return view.artifacts.get(base, 0) + adapter_bytes
 
 
 def load_move(engine: str, target: str, size: int, reason: MoveReason) -> Move:
--- a/src/rosepath/placement_types.py
+++ b/src/rosepath/placement_types.py
@@ -9,12 +9,13 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class PlacementPolicy:
-    """Weigh the requests served in time against the number of moves.
+    """Set how much a gain in served requests must exceed the cost of moves.
 
-    `move_cost_s` is in request-seconds above the engines' capacity; a larger
-    value leads to fewer moves. Both thresholds are loads
-    per slot: copies are added for a base if its engines have reached
-    `overload_threshold`, on engines at or below `spare_threshold`.
+    `move_cost_s` is the load, in request-seconds, that a new copy must move
+    off overloaded engines within `horizon_s` to justify one move; a larger
+    value leads to fewer moves. Both thresholds are loads per slot: copies are
+    added for a base if its engines have reached `overload_threshold`, on
+    engines at or below `spare_threshold`.
     """
 
     move_cost_s: float = 20.0
@@ -26,7 +27,7 @@
 
 @dataclass(slots=True, kw_only=True)
 class EngineView:
-    """Hold the state of one engine as planning sees it.
+    """Hold the state of one engine as input for planning.
 
     `free_bytes` excludes memory that is committed to reservations. `ready`
     are the loaded targets, `pending` those reserved or loading.
--- a/src/rosepath/retry_window.py
+++ b/src/rosepath/retry_window.py
@@ -28,10 +28,10 @@
 
     The VMs share no state: each derives its allowance from the requests that
     it received itself, so that their sum keeps to the ratio. For this, all VMs
-    assign requests to a window by the same rule: the requests from half a
-    window before its start to half a window after it count. Using the requests
-    of the previous window instead would count callers that move to other VMs
-    at both.
+    assign requests to windows by the same rule: a window counts the requests
+    from half its length before its start to half its length after its start.
+    If each VM counted the requests of its own previous window instead, callers
+    that move to another VM would be counted at both VMs.
     """
 
     clock: Clock
@@ -78,19 +78,19 @@
         self._expire()
         now_s = self.clock.monotonic_s()
         # Every window that contains the present must allow the retries sent
-        # since its start. The earliest such window starts one window length
-        # ago or right after a burst.
-        window_starts_s = [
+        # since its start. For each burst, this lists the earliest start of a
+        # window that contains the burst but not the previous one.
+        earliest_starts_s = [
             now_s - self.window_s,
             *(burst.last_s for burst in self._bursts),
         ]
         available = self._allowance_from(now_s)
         sent = 0
-        for burst, after_s in zip(
-            reversed(self._bursts), reversed(window_starts_s[:-1]), strict=True
+        for burst, earliest_s in zip(
+            reversed(self._bursts), reversed(earliest_starts_s[:-1]), strict=True
         ):
             sent += burst.count
-            starts_s = (after_s, burst.first_s, burst.last_s)
+            starts_s = (earliest_s, burst.first_s, burst.last_s)
             available = min(available, min(map(self._allowance_from, starts_s)) - sent)
         return available - self._reserved
 
--- a/src/rosepath/share_keeper.py
+++ b/src/rosepath/share_keeper.py
@@ -1,4 +1,7 @@
-"""Acquire and release this VM's share units as the fleet changes."""
+"""Acquire and release this VM's share units as the fleet changes.
+
+Share units divide the limits of the deployment among its entry VMs; the
+store's ledger records the holder of each, see `rosepath.shares`."""
 
 from collections.abc import Callable
 
@@ -57,7 +60,9 @@
         removed: frozenset[str],
         apply_reduced: Callable[[frozenset[int]], bool],
     ) -> bool:
-        """Release or acquire units in one write at most; return if it wrote.
+        """Release or acquire units with at most one write.
+
+        Returns whether a write succeeded or conflicted.
 
         `apply_reduced` applies fewer units and returns whether the requests in
         flight fit them; until they do, the surplus is not released.
--- a/src/rosepath/store_session.py
+++ b/src/rosepath/store_session.py
@@ -1,4 +1,4 @@
-"""Access the store from a daemon, with a call budget and endless watches."""
+"""Access the store from a daemon, with rate-limited calls and watches."""
 
 import asyncio
 import json
@@ -26,18 +26,21 @@
 
 
 class StoreSession:
-    """Call the store within a local rate limit; implement `PlatformPort`."""
+    """Implement `PlatformPort` with calls to the store, limited in rate."""
 
     def __init__(self, settings: PlatformSettings, *, clock: Clock) -> None:
-        # A watch waits for half of the silence limit and its call times out
-        # within the other half, so a dead watch is detected within the limit.
+        # A watch waits for half of the inactivity timeout, and its call times
+        # out within the other half. A watch that no longer responds is thus
+        # detected within the timeout.
         self._wait_s = settings.watch_silence_s / 2
-        limit_s = min(settings.call_timeout_s, settings.watch_silence_s / 2)
+        call_timeout_s = min(settings.call_timeout_s, settings.watch_silence_s / 2)
         access = StoreAccess(
-            address=settings.address, call_timeout_s=limit_s, read_patience_s=limit_s
+            address=settings.address,
+            call_timeout_s=call_timeout_s,
+            read_patience_s=call_timeout_s,
         )
         self._store = PlatformStore(access, clock=clock)
-        self._silence_s = settings.watch_silence_s
+        self._inactivity_timeout_s = settings.watch_silence_s
         self._clock = clock
         self._budget = TokenBucket(
             rate_per_s=settings.calls_per_s, burst=settings.calls_per_s * 2
@@ -49,9 +52,9 @@
 
     @property
     def reachable(self) -> bool:
-        """Return whether a call succeeded within the silence limit."""
+        """Return whether a call succeeded within the inactivity timeout."""
         age_s = self._clock.monotonic_s() - self._store.last_success_s
-        return age_s < self._silence_s
+        return age_s < self._inactivity_timeout_s
 
     def close(self) -> None:
         """Close the connections."""
--- a/src/rosepath_standins/tokens.py
+++ b/src/rosepath_standins/tokens.py
@@ -1,4 +1,7 @@
-"""Deterministic text of a simulated engine, so that clients can check it."""
+"""Generate the deterministic text of simulated engines.
+
+Clients compute the expected response and compare it with the received one.
+"""
 
 import zlib
 
