--- a/src/rosepath/lease_keeper.py
+++ b/src/rosepath/lease_keeper.py
@@ -32,8 +32,9 @@
 
 
 class LeaseKeeper:
-    """Own what this VM last recorded of each lease; acquire, renew, release.
+    """Acquire, renew and release the leases of this VM.
 
+    Owns the state of each lease as this VM last recorded it.
     At most one VM holds a lease at a time: each acts only while `valid`
     returns true, and all writes to the store are conditional on the version.
     """
@@ -58,6 +59,7 @@
         self.quarantined: Callable[[], tuple[str, ...]] = tuple
         self.on_quarantined: Callable[[tuple[str, ...]], None] = lambda _: None
         self.policy = policy
+        # By lease name, the state of each lease as last recorded.
         self.rows: dict[str, LeaseRow] = {}
 
     def valid(self, name: str, *, extended_until_s: float = -1e9) -> bool:
--- a/src/rosepath/share_keeper.py
+++ b/src/rosepath/share_keeper.py
@@ -1,7 +1,8 @@
 """Acquire and release this VM's share units as the fleet changes.
 
 Share units divide the limits of the deployment among its entry VMs; the
-store's ledger records the holder of each, see `rosepath.shares`."""
+store's ledger records the holder of each, see `rosepath.shares`.
+"""
 
 from collections.abc import Callable
 
@@ -63,7 +64,6 @@
         """Release or acquire units with at most one write.
 
         Returns whether a write succeeded or conflicted.
-
         `apply_reduced` applies fewer units and returns whether the requests in
         flight fit them; until they do, the surplus is not released.
         """
