--- a/src/rosepath/engine_plan_state.py
+++ b/src/rosepath/engine_plan_state.py
@@ -159,7 +159,8 @@
     ) -> float:
         """Return the requests per second that an engine would serve late.
 
-        `removed` and `added` change its workload in the plan state.
+        A request is late if it misses the latency targets of `EngineLimits`.
+        `removed` and `added` change the engine's workload in the plan state.
         """
         workload = self.workload_by_engine[engine].plus(removed, times=-1.0).plus(added)
         return late_per_s(workload, self.limits)
--- a/src/rosepath/lease_keeper.py
+++ b/src/rosepath/lease_keeper.py
@@ -34,9 +34,9 @@
 class LeaseKeeper:
     """Acquire, renew and release the leases of this VM.
 
-    Owns the state of each lease as this VM last recorded it.
-    At most one VM holds a lease at a time: each acts only while `valid`
-    returns true, and all writes to the store are conditional on the version.
+    Owns the state of each lease as this VM last recorded it. At most one VM
+    holds a lease at a time: each acts only while `valid` returns true, and all
+    writes to the store are conditional on the version.
     """
 
     def __init__(
--- a/src/rosepath/peer_exchange.py
+++ b/src/rosepath/peer_exchange.py
@@ -126,7 +126,10 @@
             await self._store.put(name, value, expected_version=None)
 
     def _own_state(self, start: str, number: int) -> PeerState:
-        """Return this VM's current state, as message `number` of `start`."""
+        """Return this VM's current state as a message.
+
+        `start` identifies this process and `number` the message within it.
+        """
         self._coordinator.note_state_sent(number)
         now_s = self._clock.monotonic_s()
         unreached = [
