--- a/src/rosepath/entry_node.py
+++ b/src/rosepath/entry_node.py
@@ -236,7 +236,7 @@
         self.loops.forever(self.copies.run)
         self.loops.forever(self.exchange.join)
         self.loops.forever(self.exchange.link.run)
-        self.loops.every(PEER_EXPIRY_TICK_S, self.exchange.forget_inactive)
+        self.loops.every(PEER_EXPIRY_TICK_S, self.exchange.forget_silent)
         self.loops.every(ISOLATION_TICK_S, self.data_centre_isolation.step)
         self.loops.every(LEASE_TICK_S, self._step_lease)
         self.loops.forever(self._plan)
--- a/src/rosepath/peer_exchange.py
+++ b/src/rosepath/peer_exchange.py
@@ -316,7 +316,7 @@
                 server.peers[state.entry_vm] = total.minus(own_load(server))
         self._servers_with_load[state.entry_vm] = frozenset(state.totals)
 
-    async def forget_inactive(self) -> None:
+    async def forget_silent(self) -> None:
         """Drop the load of VMs that exceeded the inactivity timeout."""
         if self.peers.large_fleet and not self._coordinator.term:
             return
--- a/src/rosepath/supervisor.py
+++ b/src/rosepath/supervisor.py
@@ -13,7 +13,11 @@
 
 
 class Supervisor:
-    """Own the tasks of an entry VM's loops."""
+    """Own the tasks of an entry VM's loops.
+
+    A failed loop is logged under the `__name__` of its function, so renaming
+    a function that runs here changes the `step` of that log line.
+    """
 
     def __init__(self) -> None:
         self._tasks: set[asyncio.Task[None]] = set()
--- a/src/rosepath_standins/cluster.py
+++ b/src/rosepath_standins/cluster.py
@@ -299,9 +299,9 @@
             await self._wait_until_ok(self.platform.address, "/admin/calls")
 
     async def _wait_until_ok(self, address: str, path: str) -> None:
-        await self.until(lambda: self._returns_ok(address, path))
+        await self.until(lambda: self.responds_ok(address, path))
 
-    async def _returns_ok(self, address: str, path: str) -> bool:
+    async def responds_ok(self, address: str, path: str) -> bool:
         head, _ = await self.request(address, "GET", path, timeout_s=1.0)
         return head.status == 200
 
