--- a/tests/fleet_world.py
+++ b/tests/fleet_world.py
@@ -420,7 +420,7 @@
         self.headers = HTTPHeaders({"Host": "court.example", "Request-Id": request_id})
         self.body = b""
         self.arrived_s = now_s()
-        self.begun = False
+        self.response_started = False
         self._world = simulation
 
     def respond(self, status: int, _: HTTPHeaders, __: bytes) -> None:
