--- a/benchmarks/capacity.py
+++ b/benchmarks/capacity.py
@@ -31,7 +31,7 @@
 from rosepath.tables import EntryVm, MemberState, Tables
 from rosepath.validation import validate
 
-NODES, REPLICAS, MODELS, ADAPTERS, CALLERS = 770, 2500, 860, 4000, 500
+ENTRY_VMS, REPLICAS, MODELS, ADAPTERS, CALLERS = 770, 2500, 860, 4000, 500
 DATA_CENTRES = tuple(f"dc-{n:02d}" for n in range(11))
 RNG = random.Random(1)
 
@@ -107,7 +107,7 @@
         next_state.apply(new_head, new_shards)
 
     return [
-        ["configuration held", "MB", allocated_mb],
+        ["memory of the configuration", "MB", allocated_mb],
         ["configuration encoded", "MB", sum(map(len, shards.values())) / 1e6],
         ["largest shard", "KB", max(map(len, shards.values())) / 1e3],
         ["head", "KB", len(str(head.shards)) / 1e3],
@@ -120,7 +120,7 @@
 def _table_rows(state: ConfigurationState) -> list[list[object]]:
     before = _allocated_mb()
     tables = Tables()
-    for number in range(NODES):
+    for number in range(ENTRY_VMS):
         name = f"entry-{number:03d}"
         tables.entry_vms[name] = EntryVm(
             name=name,
@@ -143,7 +143,7 @@
     demand: dict[str, float] = {}
     view = large_view(MODELS, REPLICAS)
     return [
-        ["tables held", "MB", allocated_mb],
+        ["memory of the tables", "MB", allocated_mb],
         [
             "one replica chosen",
             "ms",
@@ -188,32 +188,33 @@
         state=MemberState.ALIVE,
     )
     version = member_version(1, MemberState.ALIVE, 0)
-    for number in range(NODES):
+    for number in range(ENTRY_VMS):
         key = RowKey(RowKind.MEMBER, f"entry-{number}")
         state.merge(Row(key, version, encode_member(member)))
-    payload = b"x" * 90
+    load_row = b"x" * 90
     for number in range(REPLICAS):
         key = RowKey(RowKind.LOAD, f"engine-{number}")
-        state.merge(Row(key, 1, payload))
+        state.merge(Row(key, 1, load_row))
     allocated_mb = _allocated_mb() - before
     round_number = 1
 
-    def one_second() -> None:
+    def gossip_for_one_second() -> None:
+        """Merge a data centre's load rows; batch them for three peers."""
         nonlocal round_number
         round_number += 1
         for number in range(REPLICAS // 11):
             key = RowKey(RowKind.LOAD, f"engine-{number}")
-            state.merge(Row(key, round_number, payload), source="other")
+            state.merge(Row(key, round_number, load_row), source="other")
         for name in ("a", "b", "c"):
             batch = state.batch_for(name, now_s=float(round_number))
             state.acknowledge(name, batch.sequence)
 
     return [
-        ["gossip held", "MB", allocated_mb],
+        ["memory of the gossip state", "MB", allocated_mb],
         [
             "a second's load rows of a data centre",
             "ms",
-            _time_ms(one_second),
+            _time_ms(gossip_for_one_second),
         ],
     ]
 
@@ -225,8 +226,8 @@
     rows += _table_rows(state)
     rows += _gossip_rows()
     write_table(
-        f"Tables of full size: {NODES} nodes, {REPLICAS} replicas, {MODELS} models, "
-        f"{ADAPTERS} adapters, {CALLERS} callers",
+        f"Tables of full size: {ENTRY_VMS} entry VMs, {REPLICAS} replicas, "
+        f"{MODELS} models, {ADAPTERS} adapters, {CALLERS} callers",
         ("what", "unit", "value"),
         rows,
     )
--- a/benchmarks/entry_checks.py
+++ b/benchmarks/entry_checks.py
@@ -49,8 +49,8 @@
     def failures(self, *, timed: bool = True) -> dict[str, list[str]]:
         """Return the violations found, by rule.
 
-        Without `timed`, check only the rules that hold even when the machine
-        stalls for seconds.
+        Without `timed`, skip the rules with time limits, which a machine that
+        stalls for seconds breaks even if the entry VMs are correct.
         """
         checks: dict[str, Callable[[], list[str]]] = {
             "responses are complete": self._incomplete,
@@ -78,6 +78,7 @@
         ]
 
     def _run_twice(self) -> list[str]:
+        """Return the non-idempotent requests (`/file/`) that ran twice."""
         runs = self.fleet.request_log.runs
         return [
             response.request_id
@@ -112,8 +113,8 @@
                 if (name, by) == (server, vm)
                 and shed_s + BACKOFF_APPLIED_AFTER_S < at_s < until_s
             ]
-            no_faults = self.fleet.vms[vm].undisturbed(shed_s, until_s)
-            if no_faults and len(sent) > SENDS_IN_BACKOFF:
+            undisturbed = self.fleet.vms[vm].undisturbed(shed_s, until_s)
+            if undisturbed and len(sent) > SENDS_IN_BACKOFF:
                 found.append(f"{server} from {vm}: {len(sent)}")
         return found
 
@@ -179,32 +180,35 @@
         )
 
     def _could_have_applied(self, response: CallerResponse) -> bool:
-        """Tell whether the VM could have fetched the newest configuration.
+        """Return whether the VM could have fetched the newest configuration.
 
-        It ran undisturbed for the whole time, and at least one such VM could
-        reach the store.
+        This holds if the VM ran without disturbance or stop from `RECOVERY_S`
+        before the request until the response, and if at least one VM that did
+        so could reach the store throughout.
         """
         from_s = response.sent_s - RECOVERY_S
 
-        def any_of(spans_s: list[tuple[float, float]]) -> bool:
+        def any_overlaps(intervals_s: list[tuple[float, float]]) -> bool:
             return any(
-                at_s < response.ended_s and from_s < to_s for at_s, to_s in spans_s
+                start_s < response.ended_s and from_s < end_s
+                for start_s, end_s in intervals_s
             )
 
-        running_vms = [
+        undisturbed_vms = [
             vm
             for vm in self.fleet.vms.values()
             if vm.undisturbed(from_s, response.ended_s)
-            and not any_of(vm.stop_intervals_s)
+            and not any_overlaps(vm.stop_intervals_s)
         ]
         stall_intervals_s = self.fleet.stall_intervals_s
         store_reachable = any(
-            not any_of(vm.store_fault_intervals_s + stall_intervals_s)
-            for vm in running_vms
+            not any_overlaps(vm.store_fault_intervals_s + stall_intervals_s)
+            for vm in undisturbed_vms
         )
-        return store_reachable and self.fleet.vms[response.vm] in running_vms
+        return store_reachable and self.fleet.vms[response.vm] in undisturbed_vms
 
     def _cut_by_stop(self) -> list[str]:
+        """Return the requests cut by a planned stop after reaching a server."""
         arrivals = self.fleet.request_log.arrivals
         found = []
         for response in self.responses:
@@ -212,19 +216,19 @@
             stopping = any(
                 response.sent_s < at_s < response.ended_s for at_s in vm.stop_sent_s
             )
-            no_faults = vm.undisturbed(
+            undisturbed = vm.undisturbed(
                 response.sent_s - RECOVERY_S, response.ended_s + 0.1
             )
             reached_server = (
                 response.path.startswith("/file/") and arrivals[response.request_id]
             )
-            if response.status == 0 and stopping and no_faults and reached_server:
+            if response.status == 0 and stopping and undisturbed and reached_server:
                 found.append(f"{response.request_id} {response.path}")
         return found
 
 
 def _expected_body(response: CallerResponse) -> bytes:
-    if response.path.startswith("/draft/"):
+    if response.path.startswith("/draft/"):  # a stream
         events = range(1, EVENTS_PER_STREAM + 1)
         return b"".join(
             f"id: {number}\ndata: {response.request_id}\n\n".encode()
--- a/benchmarks/soak.py
+++ b/benchmarks/soak.py
@@ -1,6 +1,9 @@
-"""A soak of a deployment of Mahkama's size under a seeded schedule of faults.
+"""Run a deployment of Mahkama's size under a seeded schedule of faults.
 
-The checks rely on the stand-ins' records only, never on rosepath's own.
+Mahkama is one of the deployments that `benchmarks.demand` describes.
+
+The checks use only what the simulated engines, services and platform record,
+never the logs or metrics of rosepath itself.
 """
 
 import asyncio
@@ -40,18 +43,24 @@
 
 @dataclass(slots=True)
 class SoakResults:
-    """What callers received and what the stand-ins recorded."""
+    """What callers received and what the simulated servers recorded.
+
+    `starts` counts the runs that engines started by request id, and `run_keys`
+    the runs of services by key. `disturbed_at_s` has the time when each entry
+    VM was last killed, or resumed after a pause. `runs_after_departure` counts
+    the runs that engines started more than 3 s after they began to drain.
+    """
 
     counts: Counter[str] = field(default_factory=Counter)
     refused: Counter[str] = field(default_factory=Counter)
     not_run_ids: set[str] = field(default_factory=set)
     posts: Counter[str] = field(default_factory=Counter)
     posts_refused_as_not_run: set[str] = field(default_factory=set)
-    started: Counter[str] = field(default_factory=Counter)
+    starts: Counter[str] = field(default_factory=Counter)
     run_keys: Counter[str] = field(default_factory=Counter)
     overcommitted: int = 0
-    killed_at_s: dict[str, float] = field(default_factory=dict)
-    late_runs: int = 0
+    disturbed_at_s: dict[str, float] = field(default_factory=dict)
+    runs_after_departure: int = 0
     exit_codes: Counter[int] = field(default_factory=Counter)
     faults: Counter[str] = field(default_factory=Counter)
     messages: list[str] = field(default_factory=list)
@@ -66,6 +75,7 @@
     duration_s: float
     rng: random.Random = field(default_factory=lambda: random.Random(SEED))
     results: SoakResults = field(default_factory=SoakResults)
+    # Entry VMs under a fault, and "engine" while any engine is under one.
     down: set[str] = field(default_factory=set)
     ends_s: float = 0.0
     next_name: int = ENTRY_VMS
@@ -107,14 +117,14 @@
                 if not error.sent:
                     await asyncio.sleep(0.05)
                     continue
-                excused = self._was_killed_or_paused(daemon.name, started_s)
-                self.results.counts["broken by a kill" if excused else "cut"] += 1
-                if not excused:
+                disturbed = self._was_killed_or_paused(daemon.name, started_s)
+                self.results.counts["broken by a kill" if disturbed else "cut"] += 1
+                if not disturbed:
                     self.results.messages.append(f"{daemon.name} {path}: {error}")
                 return daemon.name, 0, b""
 
     def _was_killed_or_paused(self, name: str, since_s: float) -> bool:
-        return self.results.killed_at_s.get(name, 0.0) >= since_s - 1.0
+        return self.results.disturbed_at_s.get(name, 0.0) >= since_s - 1.0
 
     async def _stream(self, pool: HttpPool) -> None:
         model, prompt = self.rng.choice(MODELS), uuid.uuid4().hex
@@ -140,11 +150,11 @@
         text = "".join(c["text"] for e in events for c in e.get("choices", ()))
         expected = response_text(model, prompt, tokens)
         if response.endswith(b"data: [DONE]\n\n") and text == expected:
-            self.results.counts["complete answers"] += 1
+            self.results.counts["complete responses"] += 1
         elif events and "error" in events[-1] and expected.startswith(text):
             self._note_error(events[-1]["error"])
         else:
-            self.results.counts["wrong or mixed answers"] += 1
+            self.results.counts["wrong or mixed responses"] += 1
             self.results.messages.append(f"wrong: {response[-300:]!r}")
 
     async def _post(self, pool: HttpPool) -> None:
@@ -156,7 +166,7 @@
         )
         if status == 200:
             matches = json.loads(response)["run_key"] == key
-            name = "complete answers" if matches else "wrong or mixed answers"
+            name = "complete responses" if matches else "wrong or mixed responses"
             self.results.counts[name] += 1
         elif status:
             error = self._note_refusal(response)
@@ -194,7 +204,11 @@
                 self.results.faults[fault.__name__.strip("_")] += 1
                 asyncio.ensure_future(fault())
 
-    def _reserve_daemon(self) -> Daemon | None:
+    def _choose_daemon(self) -> Daemon | None:
+        """Choose an entry VM to inject a fault into, and mark it as down.
+
+        Return None if three are down already.
+        """
         names = [n for n in self.cluster.daemons if n not in self.down]
         if len(names) <= ENTRY_VMS - 3:
             return None
@@ -203,9 +217,9 @@
         return self.cluster.daemons[name]
 
     async def _kill_entry_vm(self) -> None:
-        daemon = self._reserve_daemon()
+        daemon = self._choose_daemon()
         if daemon is not None:
-            self.results.killed_at_s[daemon.name] = time.time()
+            self.results.disturbed_at_s[daemon.name] = time.time()
             daemon.process.kill()
             await asyncio.sleep(2.0)
             await self._restart(daemon)
@@ -220,7 +234,7 @@
         return head.status == 200
 
     async def _stop_entry_vm(self) -> None:
-        daemon = self._reserve_daemon()
+        daemon = self._choose_daemon()
         if daemon is not None:
             daemon.process.signal(signal.SIGTERM)
             code = await asyncio.to_thread(daemon.process.wait, 60)
@@ -228,11 +242,11 @@
             await self._restart(daemon)
 
     async def _pause_entry_vm(self) -> None:
-        daemon = self._reserve_daemon()
+        daemon = self._choose_daemon()
         if daemon is not None:
             daemon.process.signal(signal.SIGSTOP)
             await asyncio.sleep(7.0)
-            self.results.killed_at_s[daemon.name] = time.time()
+            self.results.disturbed_at_s[daemon.name] = time.time()
             daemon.process.signal(signal.SIGCONT)
             self.down.discard(daemon.name)
 
@@ -249,17 +263,19 @@
         self.down.discard("engine")
 
     async def _leaving_engine(self) -> None:
-        """Drain an engine, count its late runs, then restart it."""
+        """Drain an engine, count the runs it still starts, then restart it."""
         if "engine" in self.down:
             return
         self.down.add("engine")
         process = self.rng.choice(list(self.cluster.engines.values()))
         await self.cluster.json(process.address, "/admin/leave", method="POST")
-        departed_s = time.time()
+        drain_start_s = time.time()
         await asyncio.sleep(6.0)
         record = await self.cluster.record(process)
-        late = [at for at in record["started_at"].values() if at > departed_s + 3]
-        self.results.late_runs += len(late)
+        started_late = [
+            at for at in record["started_at"].values() if at > drain_start_s + 3
+        ]
+        self.results.runs_after_departure += len(started_late)
         await self._collect_engine_record(process)
         process.kill()
         process.start()
@@ -273,10 +289,12 @@
         await self.cluster.fault(self.cluster.platform, "down", count=0)
 
     async def _platform_loses(self) -> None:
+        """Make the platform lose its next responses."""
         assert self.cluster.platform is not None
         await self.cluster.fault(self.cluster.platform, "lose_reply", count=5)
 
     async def _engine_streams(self) -> None:
+        """Make an engine break streams, and sometimes lose or delay orders."""
         process = self.rng.choice(list(self.cluster.engines.values()))
         name = self.rng.choice(
             ("cut_stream", "silent_stream", "wrong_id", "duplicate_chunk", "lose_end")
@@ -287,6 +305,7 @@
         await self._arm_fault(process, name, count=4, value=2)
 
     async def _services(self) -> None:
+        """Make a service lose its next replies or refuse its next requests."""
         process = self.rng.choice(list(self.cluster.services.values()))
         name = self.rng.choice(("lose_reply", "refuse"))
         await self._arm_fault(process, name, count=4)
@@ -299,7 +318,7 @@
         except ExchangeError:
             return
 
-    # Records of the stand-ins
+    # Records of the simulated servers
 
     async def _collect_engine_record(self, process: Process) -> None:
         try:
@@ -307,7 +326,7 @@
         except ExchangeError:
             return
         self.results.overcommitted += record["overcommitted"]
-        self.results.started.update(record["started"])
+        self.results.starts.update(record["started"])
 
     async def collect_records(self) -> None:
         """Add the records of all engines and services to the results."""
@@ -375,7 +394,7 @@
     ran_despite_refusal = [
         request_id
         for request_id in results.not_run_ids
-        if results.started.get(request_id, 0)
+        if results.starts.get(request_id, 0)
     ]
     ran_despite_refusal += [
         key for key in results.posts_refused_as_not_run if results.run_keys.get(key, 0)
@@ -384,12 +403,12 @@
     bad_stops = sum(n for code, n in results.exit_codes.items() if code != 0)
     return [
         ["requests", counts["requests"]],
-        ["complete answers", counts["complete answers"]],
+        ["complete responses", counts["complete responses"]],
         ["refusals and errors by run", dict(results.refused)],
         ["broken with a killed or paused entry VM", counts["broken by a kill"]],
         ["planned stops by exit code", dict(results.exit_codes)],
         ["faults", dict(results.faults)],
-        ["VIOLATIONS: wrong or mixed answers", counts["wrong or mixed answers"]],
+        ["VIOLATIONS: wrong or mixed responses", counts["wrong or mixed responses"]],
         [
             "VIOLATIONS: non-idempotent runs above one",
             sum(n > 1 for key, n in results.run_keys.items() if key in results.posts),
@@ -397,7 +416,10 @@
         ["VIOLATIONS: refused as not run, but ran", len(ran_despite_refusal)],
         ["VIOLATIONS: requests cut without a kill or pause", counts["cut"]],
         ["VIOLATIONS: planned stops that did not exit 0", bad_stops],
-        ["VIOLATIONS: new work 3 s after leaving", results.late_runs],
+        [
+            "VIOLATIONS: runs started 3 s after an engine began to drain",
+            results.runs_after_departure,
+        ],
         ["VIOLATIONS: overcommitted memory", results.overcommitted],
         ["VIOLATIONS: models unreachable at the end", len(results.unreachable)],
     ]
