--- a/tests/test_gossip.py
+++ b/tests/test_gossip.py
@@ -32,7 +32,7 @@
 @given(
     st.integers(2, 24), st.integers(0, 2**31), st.lists(st.integers(1, 50), max_size=20)
 )
-def test_an_update_reaches_every_node_within_six_rounds(
+def test_an_update_reaches_every_entry_vm_within_six_rounds(
     count: int, seed: int, versions: list[int]
 ) -> None:
     rng = random.Random(seed)
@@ -44,8 +44,8 @@
         for name in names:
             for other in finger_neighbours(name, names):
                 exchange(states, name, other)
-    held = {state.get(RowKey(RowKind.MEMBER, "x")) for state in states.values()}
-    assert held == {row("x", max(versions)) if versions else None}
+    stored = {state.get(RowKey(RowKind.MEMBER, "x")) for state in states.values()}
+    assert stored == {row("x", max(versions)) if versions else None}
 
 
 def test_a_row_is_not_sent_twice_or_back_to_its_source() -> None:
@@ -75,8 +75,8 @@
         state.acknowledge("far", batch.sequence)
         sent += [(tick, item.version) for item in batch.rows]
     assert sent == [(0, 1), (4, 5), (8, 9)]
-    late = state.batch_for("far", now_s=20.0, load_interval_s=4.0)
-    assert [item.version for item in late.rows] == [10]
+    remaining = state.batch_for("far", now_s=20.0, load_interval_s=4.0)
+    assert [item.version for item in remaining.rows] == [10]
 
 
 @given(st.sets(st.text("abc", min_size=1, max_size=3), min_size=2))
@@ -84,20 +84,20 @@
     names: set,
 ) -> None:
     ring = sorted(names)
-    watched = set()
+    monitored = set()
     for name in ring:
         chosen = finger_neighbours(name, ring)
         assert len(chosen) <= len(ring).bit_length()
-        watched.update(chosen[:2])
-    assert watched == names
+        monitored.update(chosen[:2])
+    assert monitored == names
 
 
 def test_dead_overrides_heartbeats_and_a_new_incarnation_overrides_dead() -> None:
     alive = member_version(5, MemberState.ALIVE, 999)
     dead = member_version(5, MemberState.DEAD, 0)
-    again = member_version(6, MemberState.ALIVE, 0)
-    assert alive < dead < again
-    assert again < 2**64
+    restarted = member_version(6, MemberState.ALIVE, 0)
+    assert alive < dead < restarted
+    assert restarted < 2**64
 
 
 @given(st.binary(max_size=100))
--- a/tests/test_retry_window.py
+++ b/tests/test_retry_window.py
@@ -9,7 +9,7 @@
 from rosepath.retry_window import RetryWindow
 
 
-def spend(window: RetryWindow) -> bool:
+def send_retry(window: RetryWindow) -> bool:
     """Reserve and send a retry, if one is available."""
     reserved = window.reserve()
     if reserved:
@@ -26,22 +26,22 @@
     # The service fails for all VMs at once, and each sends all allowed
     # retries.
     clock = ManualClock()
-    spent = 0
+    sent = 0
     for count in requests:
         window = a_window(clock)
         for _ in range(count):
             window.note_request()
-        spent += sum(spend(window) for _ in range(500))
-    assert spent <= 0.2 * sum(requests) + 50.0
+        sent += sum(send_retry(window) for _ in range(500))
+    assert sent <= 0.2 * sum(requests) + 50.0
 
 
-def test_spent_retries_are_available_again_after_the_window() -> None:
+def test_sent_retries_are_available_again_after_the_window() -> None:
     clock = ManualClock()
     window = a_window(clock)
-    while spend(window):
+    while send_retry(window):
         pass
     clock.advance(10.5)
-    assert spend(window)
+    assert send_retry(window)
 
 
 RATIO, SLACK, WINDOW_S = 0.2, 58.0, 10.0
@@ -51,22 +51,22 @@
 class TrafficPhase(NamedTuple):
     """Describe a phase of traffic, and whether servers reject its requests.
 
-    The requests reach `vms` of the entry VMs, starting with number `first`.
+    The requests reach `vms` of the entry VMs, starting with number `first_vm`.
     """
 
     duration_s: float
     rate_per_s: float
     rejected: bool
-    first: int = 0
+    first_vm: int = 0
     vms: int = 9
 
 
-def max_overspend(phases: list[TrafficPhase], *, vms: int) -> float:
+def max_excess(phases: list[TrafficPhase], *, vms: int) -> float:
     """Return by how much retries exceed the budget in the worst window.
 
-    In rejected phases, every VM sends all allowed retries. The requests of a
-    window are those in it, in the previous one or in the one half a window
-    earlier, whichever are most.
+    In rejected phases, every VM sends all allowed retries. The budget of
+    a window depends on the most requests in any of three windows: itself, the
+    one half a window earlier and the previous one.
     """
     clock = ManualClock()
     windows = [
@@ -82,11 +82,11 @@
             fractional_requests += phase.rate_per_s * STEP_S
             while fractional_requests >= 1.0:
                 fractional_requests -= 1.0
-                place = phase.first + len(requests) % min(vms, phase.vms)
-                windows[place % vms].note_request()
+                vm_index = phase.first_vm + len(requests) % min(vms, phase.vms)
+                windows[vm_index % vms].note_request()
                 requests.append(clock.monotonic_s())
             for window in windows if phase.rejected else ():
-                while spend(window):
+                while send_retry(window):
                     retries.append(clock.monotonic_s())
 
     def count(times: list[float], start_s: float) -> int:
@@ -103,11 +103,11 @@
 
 
 def test_retries_stay_within_the_budget_as_a_burst_ends() -> None:
-    # Traffic doubles for ten seconds, and at its end all servers are full. If
-    # the allowance depended on the previous ten seconds, it would reflect the
-    # burst alone, while a window that starts with the retries, and each window
-    # that may set its budget, extend past the burst: too many retries would be
-    # sent.
+    # Traffic doubles for ten seconds, and at its end all servers reject
+    # requests. If the allowance depended on the previous ten seconds only, it
+    # would be computed from the burst alone. The retries, however, are judged
+    # by windows that also contain the lower traffic before or after the burst,
+    # and would exceed their budget.
     phases = [
         TrafficPhase(12.0, 97.0, False),
         TrafficPhase(9.0, 214.0, False),
@@ -115,20 +115,20 @@
         TrafficPhase(20.0, 97.0, True),
     ]
     for vms in (1, 9):
-        assert max_overspend(phases, vms=vms) <= 0
+        assert max_excess(phases, vms=vms) <= 0
 
 
 def test_retries_stay_within_the_budget_as_callers_move_to_other_vms() -> None:
     # Callers move from some VMs to others, and all are rejected. If each VM
-    # used the requests of its own last ten seconds, a window that spans the
-    # move would contain the retries of twice the requests received.
+    # used its own requests of the last ten seconds, a window that spans the
+    # move could contain retries for twice the requests received.
     phases = [
-        TrafficPhase(12.0, 200.0, False, first=0, vms=4),
-        TrafficPhase(2.0, 200.0, True, first=0, vms=4),
-        TrafficPhase(8.0, 200.0, False, first=4, vms=4),
-        TrafficPhase(2.0, 200.0, True, first=4, vms=4),
+        TrafficPhase(12.0, 200.0, False, first_vm=0, vms=4),
+        TrafficPhase(2.0, 200.0, True, first_vm=0, vms=4),
+        TrafficPhase(8.0, 200.0, False, first_vm=4, vms=4),
+        TrafficPhase(2.0, 200.0, True, first_vm=4, vms=4),
     ]
-    assert max_overspend(phases, vms=9) <= 0
+    assert max_excess(phases, vms=9) <= 0
 
 
 @settings(deadline=None)
@@ -149,19 +149,19 @@
 def test_retries_stay_within_the_budget_for_any_traffic(
     phases: list[TrafficPhase], vms: int
 ) -> None:
-    assert max_overspend(phases, vms=vms) <= 0
+    assert max_excess(phases, vms=vms) <= 0
 
 
 def test_the_budget_is_fully_available_under_steady_traffic() -> None:
-    # A limit that is too strict wastes the budget of a retry per five
-    # requests.
+    # A limit that is too strict would leave unused a part of the budget of one
+    # retry per five requests.
     clock = ManualClock()
     window = RetryWindow(clock=clock, ratio=RATIO, slack=0.0, window_s=WINDOW_S)
-    spent = 0
+    sent = 0
     for second in range(40):
         clock.advance(1.0)
         for _ in range(50):
             window.note_request()
-        while spend(window):
-            spent += second >= 20
-    assert spent >= 0.95 * RATIO * 50 * 20
+        while send_retry(window):
+            sent += second >= 20
+    assert sent >= 0.95 * RATIO * 50 * 20
--- a/tests/test_routing.py
+++ b/tests/test_routing.py
@@ -1,4 +1,4 @@
-"""Replicas are chosen by load, own requests and prefix affinity."""
+"""Replicas are chosen by load, the VM's own requests and prefix affinity."""
 
 import random
 
@@ -16,10 +16,10 @@
 
 
 def choose(replicas: list[Replica], **fields: object) -> str:
-    given_: dict = {"target": "m", "data_centre": "casa-a", **fields}
+    request_fields: dict = {"target": "m", "data_centre": "casa-a", **fields}
     chosen = choose_replica(
         replicas,
-        RoutingRequest(**given_),
+        RoutingRequest(**request_fields),
         RoutingPolicy(),
         now_s=10.0,
         rng=random.Random(1),
@@ -38,10 +38,10 @@
 
 
 def test_own_requests_in_the_report_are_counted_once() -> None:
-    row = replica("a", own_start_times={"x": -1.0}, reported_at_s=None)
+    reported = replica("a", own_start_times={"x": -1.0}, reported_at_s=None)
     for second in range(40):
-        row.note_report(running=3, queued=0, at_s=float(second))
-    assert round(row.load(), 3) == 3
+        reported.note_report(running=3, queued=0, at_s=float(second))
+    assert round(reported.load(), 3) == 3
 
 
 def test_the_local_data_centre_is_preferred_until_overloaded() -> None:
@@ -64,19 +64,19 @@
     assert choose([drained]) == "a"
 
 
-def test_affinity_is_bounded_by_load() -> None:
-    home, other = replica("a", running=1), replica("b")
-    assert choose([home, other], prefix_home="a") == "a"
-    home.other_vms_load = 3.0
-    assert choose([home, other], prefix_home="a") == "b"
+def test_prefix_affinity_yields_to_high_load() -> None:
+    preferred, other = replica("a", running=1), replica("b")
+    assert choose([preferred, other], prefix_home="a") == "a"
+    preferred.other_vms_load = 3.0
+    assert choose([preferred, other], prefix_home="a") == "b"
 
 
-def test_affinity_is_bounded_by_own_requests() -> None:
+def test_prefix_affinity_yields_to_many_own_requests() -> None:
     # All entry VMs choose the same replica for a prefix, so each limits its
     # own requests, of which it has an exact count.
-    home, other = replica("a"), replica("b")
-    home.own_start_times = {"x": 0.0, "y": 0.0}
-    assert choose([home, other], prefix_home="a") == "b"
+    preferred, other = replica("a"), replica("b")
+    preferred.own_start_times = {"x": 0.0, "y": 0.0}
+    assert choose([preferred, other], prefix_home="a") == "b"
 
 
 @given(st.text(min_size=BLOCK_CHARS, max_size=4 * BLOCK_CHARS), st.text(max_size=50))
