--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -13,8 +13,8 @@
 
 from rosepath_standins.cluster import Cluster, caller_declaration
 
-# Every run uses the same examples, so that results depend on the code alone.
-# `HYPOTHESIS_PROFILE=fresh` draws new ones.
+# By default, Hypothesis generates the same examples in every run, so that
+# results depend on the code alone. `HYPOTHESIS_PROFILE=fresh` draws new ones.
 settings.register_profile("steady", derandomize=True)
 settings.register_profile("fresh")
 settings.load_profile(os.environ.get("HYPOTHESIS_PROFILE", "steady"))
@@ -50,7 +50,7 @@
         terminalreporter.write_line(f"KNOWN RED: {line}")
 
 
-class Background:
+class BackgroundLoop:
     """Run coroutines on an event loop in a background thread.
 
     The loop keeps running between the steps of a test.
@@ -78,10 +78,10 @@
 class Deployment(Cluster):
     """Run two data centres, three engines, two service servers, three VMs."""
 
-    background: Background
+    background: BackgroundLoop
 
     @classmethod
-    def started(cls, folder: Path, background: Background) -> "Deployment":
+    def started(cls, folder: Path, background: BackgroundLoop) -> "Deployment":
         deployment = cls(folder, deployment="mahkama")
         deployment.background = background
         background.run(deployment.start())
@@ -149,7 +149,7 @@
         data_centre = DATA_CENTRES[number % 2]
         return self.start_daemon(name, data_centre, settings=settings, **options)
 
-    def homes(self) -> dict[str, str]:
+    def data_centre_by_server(self) -> dict[str, str]:
         names = [*self.engines, *self.services]
         return {n: DATA_CENTRES[int(n[-1]) % 2] for n in names}
 
@@ -159,11 +159,11 @@
             "[model.claim-drafts]\nmemory_bytes = 30000\n"
             '[adapter.casablanca]\nmodel = "court-rules"\nmemory_bytes = 500\n'
             + caller_declaration("clerks", KEY)
-            + self.engine_declarations(self.homes(), 100_000)
-            + self.service_declarations("greffe-api", self.homes())
+            + self.engine_declarations(self.data_centre_by_server(), 100_000)
+            + self.service_declarations("greffe-api", self.data_centre_by_server())
         )
 
-    async def holders(self, target: str) -> list[str]:
+    async def engines_with(self, target: str) -> list[str]:
         """Return the engines that report a target as resident."""
         return [
             name
@@ -174,19 +174,20 @@
         ]
 
     async def all_loaded(self) -> bool:
-        wanted = ("court-rules", "claim-drafts", "court-rules:casablanca")
-        return all([await self.holders(target) for target in wanted])
+        """Return whether each model and adapter is on some engine."""
+        targets = ("court-rules", "claim-drafts", "court-rules:casablanca")
+        return all([await self.engines_with(target) for target in targets])
 
 
 @pytest.fixture(scope="session")
-def background() -> Iterator[Background]:
-    runner = Background()
+def background() -> Iterator[BackgroundLoop]:
+    runner = BackgroundLoop()
     yield runner
     runner.stop()
 
 
 @pytest.fixture
-def deployment(tmp_path: Path, background: Background) -> Iterator[Deployment]:
+def deployment(tmp_path: Path, background: BackgroundLoop) -> Iterator[Deployment]:
     started = Deployment.started(tmp_path, background)
     yield started
     started.stop()
--- a/tests/test_acting_as_one.py
+++ b/tests/test_acting_as_one.py
@@ -10,7 +10,7 @@
 from typing import Any
 
 import pytest
-from conftest import KEY, Background, Deployment
+from conftest import KEY, BackgroundLoop, Deployment
 from pytest_bdd import given, parsers, scenarios, then, when
 
 from rosepath.cli_calls import EXIT_CONFLICT
@@ -58,7 +58,7 @@
     runs: list[str] = field(default_factory=list)
     faulted: str = ""
     max_running: int = 0
-    cut_off: list[str] = field(default_factory=list)
+    partitioned: list[str] = field(default_factory=list)
 
 
 @pytest.fixture
@@ -67,7 +67,7 @@
 
 
 @pytest.fixture
-def proxied(tmp_path: Path, background: Background) -> Iterator[ProxiedDeployment]:
+def proxied(tmp_path: Path, background: BackgroundLoop) -> Iterator[ProxiedDeployment]:
     deployment = ProxiedDeployment(tmp_path, deployment="mahkama")
     deployment.background = background
     deployment.peer_proxies, deployment.platform_proxies = {}, {}
@@ -111,9 +111,9 @@
     return {row["name"]: row["state"] for row in rows}
 
 
-@given("a deployment with a proxy before every peer and platform link")
+@given("a deployment with a fault proxy on every peer and platform link")
 def _proxied(proxied: ProxiedDeployment) -> None:
-    """Started by the fixture."""
+    """Do nothing: the fixture starts the deployment."""
 
 
 @given("the platform goes down")
@@ -186,21 +186,21 @@
     proxied.start_entry_vm(name)
 
 
-@when("one data centre is cut off from its peers and the platform")
+@when("the links of one data centre to its peers and the platform are cut")
 def _cut(proxied: ProxiedDeployment, scenario: ScenarioState) -> None:
-    scenario.cut_off = ["entry-2"]
-    for name in scenario.cut_off:
+    scenario.partitioned = ["entry-2"]
+    for name in scenario.partitioned:
         for proxy in (proxied.peer_proxies[name], proxied.platform_proxies[name]):
             set_faults(proxied, proxy, blackhole_up=True, blackhole_down=True)
-    others = proxied.peer_proxies.keys() - set(scenario.cut_off)
+    others = proxied.peer_proxies.keys() - set(scenario.partitioned)
     # The partition is one-way: the entry VM's platform link and listener are
     # cut, but what it sends to the others arrives, since their proxies cannot
     # tell senders apart.
     assert others
 
 
-@when("the links heal")
-def _heal(proxied: ProxiedDeployment) -> None:
+@when("the links are restored")
+def _restore_links(proxied: ProxiedDeployment) -> None:
     for proxy in all_proxies(proxied):
         set_faults(proxied, proxy)
 
@@ -212,7 +212,7 @@
     proxied.background.run(run())
 
 
-@when("a change is accepted on the other side")
+@when("a change is accepted in the other data centre")
 def _change_elsewhere(proxied: ProxiedDeployment, scenario: ScenarioState) -> None:
     done = declare_limit(proxied, 80, change_id="other-side", daemon="entry-1")
     scenario.version = json.loads(done.stdout)["version"]
@@ -229,7 +229,7 @@
     proxied.daemons[scenario.faulted].process.start()
 
 
-@when("the placement holder of a data centre is paused while models change")
+@when("the holder of a data centre's placement lease is paused while models change")
 def _pause_holder(proxied: ProxiedDeployment, scenario: ScenarioState) -> None:
     async def run() -> None:
         scenario.faulted = await proxied.until(
@@ -262,16 +262,16 @@
     return found
 
 
-@when("the paused holder wakes up")
+@when("the paused entry VM resumes")
 def _resume_holder(proxied: ProxiedDeployment, scenario: ScenarioState) -> None:
     proxied.daemons[scenario.faulted].process.signal(signal.SIGCONT)
     proxied.background.run(proxied.until(lambda: states(proxied, scenario.faulted)))
 
 
-@when("an engine that holds a model is killed")
+@when("an engine with a resident model is killed")
 def _kill_engine(proxied: ProxiedDeployment, scenario: ScenarioState) -> None:
     async def run() -> None:
-        scenario.faulted = (await proxied.holders("court-rules"))[0]
+        scenario.faulted = (await proxied.engines_with("court-rules"))[0]
         proxied.engines[scenario.faulted].kill()
 
     proxied.background.run(run())
@@ -279,8 +279,8 @@
 
 @when("30 callers at once use all entry VMs and one of those is killed")
 def _call_and_kill(proxied: ProxiedDeployment, scenario: ScenarioState) -> None:
-    # Slots lent to a killed entry VM stay with it until the member list has
-    # it as gone. A surviving VM must therefore run a request first: otherwise
+    # Slots lent to a killed entry VM stay with it until the member list no
+    # longer contains it. A surviving VM must therefore run a request first: otherwise
     # the killed VM may have all slots, and no request would succeed.
     async def run() -> None:
         watching = asyncio.ensure_future(watch_running(proxied, scenario))
@@ -329,7 +329,7 @@
         scenario.runs.append(json.loads(response_body)["error"]["run"])
 
 
-@when("the platform links of all entry VMs swallow everything for a while")
+@when("the platform links of all entry VMs drop all data for a while")
 def _blackhole_platform_links(proxied: ProxiedDeployment) -> None:
     async def run() -> None:
         for proxy in proxied.platform_proxies.values():
@@ -345,7 +345,7 @@
     )
 
 
-@when("a change is accepted after they pass bytes again")
+@when("a change is accepted after the platform links are restored")
 def _change_later(proxied: ProxiedDeployment, scenario: ScenarioState) -> None:
     for proxy in proxied.platform_proxies.values():
         set_faults(proxied, proxy)
@@ -368,27 +368,27 @@
         set_faults(proxied, proxy, loss=0.2)
 
     async def run() -> None:
-        frames = [proxy.accepted for proxy in proxied.peer_proxies.values()]
-        await asyncio.sleep(len(frames) * 4.0)
+        accepted_counts = [proxy.accepted for proxy in proxied.peer_proxies.values()]
+        await asyncio.sleep(len(accepted_counts) * 4.0)
 
     proxied.background.run(run())
 
 
-@then("nobody was declared dead")
+@then("no entry VM was declared dead")
 def _none_declared_dead(proxied: ProxiedDeployment) -> None:
     for name in proxied.daemons:
         log = (proxied.folder / f"{name}.log").read_text()
         assert "entry_vm_dead" not in log
 
 
-@then("every entry VM has that version in force")
+@then("every entry VM has applied that version")
 def _in_force(proxied: ProxiedDeployment, scenario: ScenarioState) -> None:
     for name in proxied.daemons:
         done = proxied.cli("wait", str(scenario.version), daemon=name)
         assert done.returncode == 0, done.stderr
 
 
-@then(parsers.parse('repeating "{change_id}" reports it as already applied'))
+@then(parsers.parse('retrying "{change_id}" reports it as already applied'))
 def _reported_as_applied(
     proxied: ProxiedDeployment, scenario: ScenarioState, change_id: str
 ) -> None:
@@ -425,7 +425,7 @@
     proxied.background.run(proxied.wait_serving("entry-4"))
 
 
-@then("callers of both sides are still answered")
+@then("callers of both data centres still receive responses")
 def _both_sides_serve(proxied: ProxiedDeployment) -> None:
     for name in ("entry-1", "entry-2"):
         proxied.background.run(proxied.wait_serving(name))
@@ -451,7 +451,7 @@
     proxied.background.run(proxied.until(all_list_it))
 
 
-@then("another entry VM takes its lease over")
+@then("another entry VM acquires its lease")
 def _taken_over(proxied: ProxiedDeployment, scenario: ScenarioState) -> None:
     holder = proxied.background.run(
         proxied.until(lambda: placement_holder(proxied, "casa-b"))
@@ -473,7 +473,7 @@
     assert set(proxied.background.run(run())) == {0}
 
 
-@then("every declared model answers")
+@then("every entry VM serves every declared model")
 def _all_models_served(proxied: ProxiedDeployment) -> None:
     for name in proxied.daemons:
         proxied.background.run(proxied.wait_serving(name))
@@ -484,7 +484,7 @@
     assert 0 < scenario.max_running <= value
 
 
-@then("some requests were answered and the others refused as not run")
+@then("some requests succeeded and the others were refused as not run")
 def _some_not_run(scenario: ScenarioState) -> None:
     assert 200 in scenario.statuses
     assert set(scenario.statuses) <= {200, 429}
--- a/tests/test_callers.py
+++ b/tests/test_callers.py
@@ -9,7 +9,7 @@
 
 import openai
 import pytest
-from conftest import KEY, Background, Deployment
+from conftest import KEY, BackgroundLoop, Deployment
 
 from rosepath_standins.tokens import response_text
 
@@ -19,7 +19,7 @@
 
 @pytest.fixture(scope="module")
 def shared(
-    tmp_path_factory: pytest.TempPathFactory, background: Background
+    tmp_path_factory: pytest.TempPathFactory, background: BackgroundLoop
 ) -> Iterator[Deployment]:
     folder: Path = tmp_path_factory.mktemp("callers")
     started = Deployment.started(folder, background)
--- a/tests/test_gossip.py
+++ b/tests/test_gossip.py
@@ -88,6 +88,7 @@
     for name in ring:
         chosen = finger_neighbours(name, ring)
         assert len(chosen) <= len(ring).bit_length()
+        # An entry VM monitors its first two neighbours only.
         monitored.update(chosen[:2])
     assert monitored == names
 
--- a/tests/test_promises.py
+++ b/tests/test_promises.py
@@ -32,7 +32,7 @@
     key: str = ""
     first_body: bytes = b""
     engine: str = ""
-    left_at_s: float = 0.0
+    drain_start_s: float = 0.0
     texts: list[str] = field(default_factory=list)
     deferred_id: str = ""
     exit_code: int = -1
@@ -129,7 +129,7 @@
     )
 
 
-@given("every engine sends somebody else's chunk and a repeated one")
+@given("every engine sends a chunk of another request and a duplicate chunk")
 def _mixed(deployment: Deployment) -> None:
     deployment.background.run(inject_fault(deployment, "engine", "wrong_id", count=3))
     deployment.background.run(
@@ -137,8 +137,8 @@
     )
 
 
-@given("every engine goes silent in its next stream")
-def _silent(deployment: Deployment) -> None:
+@given("every engine stops sending in its next stream")
+def _stop_sending(deployment: Deployment) -> None:
     deployment.background.run(inject_fault(deployment, "engine", "silent_stream"))
 
 
@@ -152,7 +152,7 @@
     deployment.background.run(inject_fault(deployment, "service", "lose_reply"))
 
 
-@given("every service server cuts its next answer")
+@given("every service server cuts its next response")
 def _cut_answer(deployment: Deployment) -> None:
     deployment.background.run(inject_fault(deployment, "service", "cut_answer"))
 
@@ -230,8 +230,8 @@
     return ""
 
 
-@when(parsers.parse("a caller hangs up in a stream of {tokens:d} tokens"))
-def _hang_up(deployment: Deployment, caller_view: CallerView, tokens: int) -> None:
+@when(parsers.parse("a caller disconnects during a stream of {tokens:d} tokens"))
+def _disconnect(deployment: Deployment, caller_view: CallerView, tokens: int) -> None:
     async def run() -> None:
         streaming = asyncio.ensure_future(stream(deployment, tokens))
         caller_view.engine = await deployment.until(
@@ -249,14 +249,14 @@
     deployment.background.run(file_claim(deployment, caller_view))
 
 
-@when("a caller files a claim under a key")
+@when("a caller files a claim with an idempotency key")
 def _file_with_key(deployment: Deployment, caller_view: CallerView) -> None:
     caller_view.run_key = caller_view.key = uuid.uuid4().hex
     deployment.background.run(file_claim(deployment, caller_view))
 
 
-@when("it repeats that through another entry VM")
-def _repeat(deployment: Deployment, caller_view: CallerView) -> None:
+@when("it sends that again through another entry VM")
+def _send_again(deployment: Deployment, caller_view: CallerView) -> None:
     caller_view.first_body = caller_view.body
     deployment.background.run(file_claim(deployment, caller_view, "entry-2"))
 
@@ -274,15 +274,15 @@
     caller_view.status, caller_view.tokens = head.status, size
 
 
-@when("an engine starts leaving while callers go on")
-def _leave(deployment: Deployment, caller_view: CallerView) -> None:
+@when("an engine begins to drain while callers continue")
+def _drain(deployment: Deployment, caller_view: CallerView) -> None:
     async def run() -> None:
-        caller_view.engine = (await deployment.holders("court-rules"))[0]
+        caller_view.engine = (await deployment.engines_with("court-rules"))[0]
         engine = deployment.engines[caller_view.engine]
         loop = asyncio.get_running_loop()
         ends_s = loop.time() + 6.0
         await deployment.json(engine.address, "/admin/leave", method="POST")
-        caller_view.left_at_s = (await deployment.json(engine.address, "/report"))[
+        caller_view.drain_start_s = (await deployment.json(engine.address, "/report"))[
             "at_s"
         ]
         while loop.time() < ends_s:
@@ -322,15 +322,15 @@
             "not_before_s": report["at_s"] + 8,
             "body": {"model": "claim-drafts", "prompt": "night", "max_tokens": 6},
         }
-        head, answer = await deployment.request(
+        head, response = await deployment.request(
             deployment.daemons["entry-1"].callers,
             "POST",
             "/v1/deferred",
             body=json.dumps(body).encode(),
             headers=headers(Rosepath_Idempotent="false"),
         )
-        assert head.status == 202, answer
-        caller_view.deferred_id = json.loads(answer)["id"]
+        assert head.status == 202, response
+        caller_view.deferred_id = json.loads(response)["id"]
 
     deployment.background.run(run())
 
@@ -348,8 +348,8 @@
     deployment.background.run(run())
 
 
-@then("the answer is whole")
-def _whole(caller_view: CallerView) -> None:
+@then("the response is complete")
+def _complete(caller_view: CallerView) -> None:
     assert caller_view.status == 200, caller_view.body
     assert text_of(caller_view.body) == response_text(
         "court-rules", PROMPT, caller_view.tokens
@@ -357,7 +357,7 @@
     assert caller_view.body.endswith(b"data: [DONE]\n\n")
 
 
-@then("no token came twice")
+@then("no token was received twice")
 def _once(caller_view: CallerView) -> None:
     ids = [line for line in caller_view.body.split(b"\n") if line.startswith(b"id: ")]
     assert len(ids) == len(set(ids)) == caller_view.tokens + 1
@@ -381,7 +381,7 @@
     )
 
 
-@then(parsers.parse("the answer is {status:d} with run {run}"))
+@then(parsers.parse("the response is {status:d} with run {run}"))
 def _refused(caller_view: CallerView, status: int, run: str) -> None:
     assert (caller_view.status, json.loads(caller_view.body)["error"]["run"]) == (
         status,
@@ -389,12 +389,12 @@
     )
 
 
-@then(parsers.parse("the answer is {status:d}"))
+@then(parsers.parse("the response is {status:d}"))
 def _status(caller_view: CallerView, status: int) -> None:
     assert caller_view.status == status, caller_view.body
 
 
-@then("both answers are the same")
+@then("both responses are the same")
 def _same(caller_view: CallerView) -> None:
     assert caller_view.status == 200
     assert caller_view.body == caller_view.first_body
@@ -421,17 +421,19 @@
     assert (caller_view.status, len(caller_view.body)) == (200, caller_view.tokens)
 
 
-@then("it got no new work after three seconds")
+@then("it received no new work after three seconds")
 def _no_new_work(deployment: Deployment, caller_view: CallerView) -> None:
     async def run() -> list[float]:
         record = await deployment.record(deployment.engines[caller_view.engine])
-        return [at_s - caller_view.left_at_s for at_s in record["started_at"].values()]
+        return [
+            at_s - caller_view.drain_start_s for at_s in record["started_at"].values()
+        ]
 
     assert max(deployment.background.run(run()), default=0.0) < 3.0
 
 
-@then("every answer of those callers was whole")
-def _all_whole(caller_view: CallerView) -> None:
+@then("every response to those callers was complete")
+def _all_complete(caller_view: CallerView) -> None:
     assert caller_view.texts
     assert set(caller_view.texts) == {response_text("court-rules", PROMPT, 5)}
 
@@ -450,11 +452,11 @@
             f"/v1/deferred/{caller_view.deferred_id}",
             headers=headers(),
         )
-        answer = json.loads(body)
-        return answer if answer.get("status") == "done" else None
+        response = json.loads(body)
+        return response if response.get("status") == "done" else None
 
-    answer = deployment.background.run(deployment.until(run, timeout_s=60))
-    text = answer["result"]["choices"][0]["text"]
+    response = deployment.background.run(deployment.until(run, timeout_s=60))
+    text = response["result"]["choices"][0]["text"]
     assert text == response_text("claim-drafts", "night", 6)
 
 
--- a/tests/test_routing.py
+++ b/tests/test_routing.py
@@ -59,6 +59,8 @@
 
 
 def test_a_draining_replica_is_chosen_only_if_no_other_is_left() -> None:
+    # Draining means that the configuration declares a drain of the server. A
+    # server that announced its own departure is `leaving`, and never chosen.
     drained = replica("a", draining=True)
     assert choose([drained, replica("b", running=9)]) == "b"
     assert choose([drained]) == "a"
--- a/tests/test_tls.py
+++ b/tests/test_tls.py
@@ -6,7 +6,7 @@
 from pathlib import Path
 
 import pytest
-from conftest import Background, Deployment
+from conftest import BackgroundLoop, Deployment
 
 from rosepath_standins.cluster import Cluster
 
@@ -49,7 +49,7 @@
 
 @pytest.fixture(scope="module")
 def secured(
-    tmp_path_factory: pytest.TempPathFactory, background: Background
+    tmp_path_factory: pytest.TempPathFactory, background: BackgroundLoop
 ) -> Iterator[Deployment]:
     folder = tmp_path_factory.mktemp("tls")
     make_ca(folder, "ca")
@@ -113,7 +113,7 @@
 
 
 def test_peers_of_one_ca_discover_each_other(
-    secured: Deployment, background: Background, monkeypatch: pytest.MonkeyPatch
+    secured: Deployment, background: BackgroundLoop, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     background.run(
         secured.until(
@@ -123,7 +123,7 @@
 
 
 def test_a_peer_of_another_ca_or_deployment_is_not_admitted(
-    secured: Deployment, background: Background, monkeypatch: pytest.MonkeyPatch
+    secured: Deployment, background: BackgroundLoop, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     # A peer that is not admitted retries its seeds. A valid peer that starts
     # later becomes known, so the other had enough time to be admitted.
